--- a/drivers/front/front_service.cpp
+++ b/drivers/front/front_service.cpp
@@ -32,7 +32,7 @@
 /// Maximum wait for results that a caller may request.
 constexpr std::chrono::milliseconds max_read_wait{1'000};
 /// Time limit for requests that state no deadline.
-constexpr std::chrono::milliseconds default_patience{30'000};
+constexpr std::chrono::milliseconds default_time_limit{30'000};
 /// Time reserved for sending the answer back to the caller.
 constexpr std::chrono::milliseconds answer_margin{15};
 constexpr std::string_view event_separator = "\n\n";
@@ -155,15 +155,15 @@
 front_service::forward(http_exchange& exchange, const route_rule& route,
                        const platform::caller_call& call) {
     const steady_time begin = now();
-    const auto patience =
-        std::min(call.patience.value_or(default_patience), route.timeout);
+    const auto time_limit =
+        std::min(call.patience.value_or(default_time_limit), route.timeout);
     // Watches the caller's connection during the call: if the caller
     // disconnects, the upstream connection is closed and the upstream drops the
     // request.
     plain_call_request plain{.route = route,
                              .request = exchange.request(),
                              .id = call.id.text(),
-                             .deadline = begin + patience};
+                             .deadline = begin + time_limit};
     auto outcome = co_await (plain_caller_.call(std::move(plain)) ||
                              exchange.wait_caller_gone());
     if (outcome.index() == 1) {
@@ -203,7 +203,7 @@
         co_return;
     }
     ++counters_.unknown;
-    const bool is_late = now() + answer_margin >= begin + patience;
+    const bool is_late = now() + answer_margin >= begin + time_limit;
     log_.write(log_event::request_outcome_unknown,
                "request=" + call.id.text() + " route=" + route.name +
                    " attempts=" + std::to_string(result.attempts) +
@@ -219,7 +219,7 @@
                               const platform::caller_call& call) {
     const steady_time deadline =
         now() +
-        std::min(call.patience.value_or(default_patience), route.timeout);
+        std::min(call.patience.value_or(default_time_limit), route.timeout);
     const service_name service = route.services.empty()
                                      ? service_name()
                                      : route.services.front().service;
@@ -351,10 +351,10 @@
                                      : route.services.front().service,
                       .total = static_cast<std::uint32_t>(job->items.size()),
                       .accepted_at = wall_milliseconds()};
-    const auto patience =
+    const auto time_limit =
         std::min(call.patience.value_or(max_accept_time), max_accept_time);
     const accept_end end = co_await jobs_.accept(
-        record, exchange.request().body, begin + patience - answer_margin);
+        record, exchange.request().body, begin + time_limit - answer_margin);
     const std::string detail =
         "job=" + id.text() + " route=" + route.name +
         " items=" + std::to_string(job->items.size()) + " milliseconds=" +
--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -164,8 +164,8 @@
         co_return make_failed(
             true, failure{result_code::failed_by_upstream,
                           is_for_this_call
-                              ? "the successful answer lacks the upstream's "
-                                "signature or has a content encoding"
+                              ? "a success without the upstream's signature or "
+                                "with a content encoding"
                               : "the answer belongs to another request"});
     }
     guard.end(call_end::answered);
