--- a/drivers/caller_http/caller_request.cpp
+++ b/drivers/caller_http/caller_request.cpp
@@ -151,8 +151,8 @@
     const auto attempt = read_number<call_attempt>(
         caller_header::attempt, request.header(caller_header::attempt), 1,
         max_attempt, 0);
-    reason.code =
-        refusal_of(reason.code, is_keyed, attempt ? *attempt : max_attempt);
+    reason.code = refusal_code_for(reason.code, is_keyed,
+                                   attempt ? *attempt : max_attempt);
     return reason;
 }
 
--- a/drivers/caller_http/generation_run.cpp
+++ b/drivers/caller_http/generation_run.cpp
@@ -32,12 +32,12 @@
 
 failure judge(const answer_assembler& answer, const failure& ended) {
     switch (answer.verdict()) {
-    case answer_verdict::whole:
+    case answer_verdict::complete:
         return {};
-    case answer_verdict::crossed:
+    case answer_verdict::mismatched:
         return {result_code::failed_by_upstream,
                 "the stream carried another request's answer"};
-    case answer_verdict::doubled:
+    case answer_verdict::duplicated:
         return {result_code::failed_by_upstream,
                 "the stream carried tokens twice"};
     default:
--- a/drivers/caller_http/plain_call.cpp
+++ b/drivers/caller_http/plain_call.cpp
@@ -51,9 +51,9 @@
     }
 }
 
-upstream_ruling rule_on(const outcome<http_response>& answer) {
-    return answer ? rule_on_status(answer->status, service_kind::plain)
-                  : rule_on_fault(fault_of(answer.reason().code));
+run_classification rule_on(const outcome<http_response>& answer) {
+    return answer ? classify_status(answer->status, service_kind::plain)
+                  : classify_fault(fault_of(answer.reason().code));
 }
 
 std::string describe_end(const outcome<http_response>& answer) {
@@ -106,7 +106,7 @@
     while (true) {
         const auto choice = attempt.begin(0, 0);
         if (!choice) {
-            const result_code code = retries.give_up(choice.reason().code);
+            const result_code code = retries.final_code(choice.reason().code);
             life.fire(end_event_of(classify(code)));
             co_return failure{code, choice.reason().detail};
         }
@@ -114,7 +114,7 @@
         const auto entered = co_await guard.enter(choice->upstream->name);
         if (!entered) {
             attempt.finish({}, true);
-            const result_code code = retries.give_up(entered.reason().code);
+            const result_code code = retries.final_code(entered.reason().code);
             life.fire(end_event_of(classify(code)));
             co_return failure{code, entered.reason().detail};
         }
@@ -122,7 +122,7 @@
         const auto answer =
             co_await call_upstream(exchange, request, path, is_idempotent,
                                    choice->upstream->address, seen, services);
-        const upstream_ruling ruling = rule_on(answer);
+        const run_classification ruling = rule_on(answer);
         guard.leave(answer ? result_code::ok : answer.reason().code);
         attempt.finish(seen, false);
         const bool is_sent =
@@ -141,7 +141,7 @@
             life.fire("retry");
             continue;
         }
-        if (answer && ruling.fate == upstream_fate::answered) {
+        if (answer && ruling.execution == execution_state::answered) {
             life.fire("receive");
             life.fire("finish");
             co_return to_record(*answer, decision.code);
@@ -185,7 +185,7 @@
 asio::awaitable<std::optional<outcome<recorded_answer>>>
 seek_right(const caller_request& request, const call_key& key,
            std::size_t worker, traffic_services& services) {
-    const auto pending = std::make_shared<pending_answer<right_answer>>(
+    const auto pending = std::make_shared<pending_answer<run_right_result>>(
         services.contexts.at(worker).get().get_executor());
     services.decisions.add(
         request.id.text(),
@@ -194,13 +194,14 @@
          .detail = "key=" + key.key.text() +
                    " attempt=" + std::to_string(request.attempt)},
         std::chrono::steady_clock::now());
-    services.delivery.submit(
-        right_query{.key = key,
-                    .attempt = request.attempt,
-                    .last_instance = request.last_instance,
-                    .deadline = request.deadline,
-                    .done = [answer = pending->handler()](
-                                const right_answer& found) { answer(found); }});
+    services.delivery.submit(run_right_query{
+        .key = key,
+        .attempt = request.attempt,
+        .last_instance = request.last_instance,
+        .deadline = request.deadline,
+        .done = [answer = pending->handler()](const run_right_result& found) {
+            answer(found);
+        }});
     // The gate answers by the deadline; the margin covers the way back.
     const auto found = co_await pending->wait(request.deadline + right_margin);
     std::optional<outcome<recorded_answer>> result;
@@ -237,7 +238,7 @@
                        .key = request.key};
     const key_decision decision =
         services.keys.begin(key, request.attempt, request.began);
-    if (decision.verdict == key_verdict::ask) {
+    if (decision.verdict == key_verdict::acquire_right) {
         life.fire("ask_right");
         const auto told =
             co_await seek_right(request, key, exchange.worker(), services);
--- a/drivers/caller_http/step_runner.cpp
+++ b/drivers/caller_http/step_runner.cpp
@@ -288,18 +288,19 @@
 
 void step_runner::open() {
     const step_session_options& options = session_.options();
-    services_.delivery.submit(step_opening{
-        .key = options.key,
-        .epoch = options.epoch,
-        .hear_epoch = [weak = weak_from_this(),
-                       executor = change_.get_executor()](session_epoch epoch) {
-            asio::post(executor, [weak, epoch] {
-                if (const auto self = weak.lock()) {
-                    self->session_.hear_epoch(epoch);
-                    self->change_.cancel();
-                }
-            });
-        }});
+    services_.delivery.submit(
+        step_opening{.key = options.key,
+                     .epoch = options.epoch,
+                     .on_newer_epoch = [weak = weak_from_this(),
+                                        executor = change_.get_executor()](
+                                           session_epoch epoch) {
+                         asio::post(executor, [weak, epoch] {
+                             if (const auto self = weak.lock()) {
+                                 self->session_.observe_epoch(epoch);
+                                 self->change_.cancel();
+                             }
+                         });
+                     }});
 }
 
 void step_runner::close() {
--- a/drivers/caller_http/suspect_guard.cpp
+++ b/drivers/caller_http/suspect_guard.cpp
@@ -52,7 +52,7 @@
     const auto view = services_.delivery.suspects();
     const auto found = view->find(fingerprint_);
     return losses_ >= losses_to_hold ||
-           (found != view->end() && found->second.is_held);
+           (found != view->end() && found->second.is_blocked);
 }
 
 bool suspect_guard::is_marked() const {
@@ -114,10 +114,10 @@
     if (is_loss(code)) {
         ++losses_;
         services_.delivery.submit(
-            std::vector<run_lost>{{.service = service,
+            std::vector<lost_run>{{.service = service,
                                    .upstream = entered_,
                                    .fingerprint = fingerprint_,
-                                   .is_alone = !permit_.empty()}});
+                                   .is_sole_suspect = !permit_.empty()}});
     } else if (code == result_code::ok && is_marked()) {
         services_.delivery.submit(
             suspect_clearing{.fingerprint = fingerprint_});
--- a/drivers/upstream_http/upstream_client.cpp
+++ b/drivers/upstream_http/upstream_client.cpp
@@ -98,7 +98,7 @@
 }
 
 failure refused_by_engine(unsigned status) {
-    return {rule_on_status(status, service_kind::model).code,
+    return {classify_status(status, service_kind::model).code,
             "HTTP status " + std::to_string(status)};
 }
 
--- a/servers/delivery/answer_assembler.cpp
+++ b/servers/delivery/answer_assembler.cpp
@@ -13,18 +13,18 @@
 }
 
 bool answer_assembler::accept(const stream_event& event) {
-    if (is_tainted()) {
+    if (is_invalid()) {
         return false;
     }
     if (event.stream != stream_ || event.attempt > attempt_) {
-        verdict_ = answer_verdict::crossed;
+        verdict_ = answer_verdict::mismatched;
         return false;
     }
     if (event.attempt < attempt_) {
         return false;
     }
-    if (verdict_ == answer_verdict::whole) {
-        verdict_ = answer_verdict::doubled;
+    if (verdict_ == answer_verdict::complete) {
+        verdict_ = answer_verdict::duplicated;
         return false;
     }
     if (verdict_ == answer_verdict::truncated) {
@@ -33,19 +33,19 @@
     if (event.token_count > 0) {
         append(event);
     } else if (!event.text.empty() && !event.is_finish) {
-        // Text outside of any token could come twice without being noticed.
+        // Duplicates of text without a token position cannot be detected.
         verdict_ = answer_verdict::truncated;
     }
     if (event.is_finish && verdict_ == answer_verdict::open) {
         finish(event);
     }
     return verdict_ == answer_verdict::open ||
-           verdict_ == answer_verdict::whole;
+           verdict_ == answer_verdict::complete;
 }
 
 void answer_assembler::append(const stream_event& event) {
     if (event.first_token < next_token_) {
-        verdict_ = answer_verdict::doubled;
+        verdict_ = answer_verdict::duplicated;
         return;
     }
     const bool is_too_long =
@@ -65,7 +65,7 @@
 void answer_assembler::finish(const stream_event& event) {
     const std::uint32_t total = event.total_tokens.value_or(next_token_);
     if (total < next_token_) {
-        verdict_ = answer_verdict::doubled;
+        verdict_ = answer_verdict::duplicated;
         return;
     }
     if (total > next_token_) {
@@ -78,7 +78,7 @@
     if (event.token_count == 0) {
         text_ += event.text;
     }
-    verdict_ = answer_verdict::whole;
+    verdict_ = answer_verdict::complete;
 }
 
 void answer_assembler::end_stream() {
@@ -99,16 +99,16 @@
 }
 
 outcome<std::vector<version_range>> answer_assembler::versions() const {
-    if (verdict_ != answer_verdict::whole) {
+    if (verdict_ != answer_verdict::complete) {
         return failure{result_code::failed_truncated,
-                       "the answer is not whole"};
+                       "the answer is not complete"};
     }
     return labels_.finish(next_token_);
 }
 
-bool answer_assembler::is_tainted() const {
-    return verdict_ == answer_verdict::crossed ||
-           verdict_ == answer_verdict::doubled;
+bool answer_assembler::is_invalid() const {
+    return verdict_ == answer_verdict::mismatched ||
+           verdict_ == answer_verdict::duplicated;
 }
 
 } // namespace savorydock
--- a/servers/delivery/answer_assembler.hpp
+++ b/servers/delivery/answer_assembler.hpp
@@ -11,63 +11,66 @@
 
 namespace savorydock {
 
-/// One run of a request; a later run has a greater number. Numbers of one
-/// slot grow over all sessions, see `make_attempt`.
+/// Number of a run of a request; later runs have greater numbers. For a slot
+/// the numbers increase across all sessions, see `make_attempt`.
 using attempt_number = std::uint64_t;
 
-/// One event of an upstream's stream, whatever its wire form was.
+/// One event of an upstream's response stream, independent of the wire format.
 struct stream_event {
-    /// The stream that the upstream says it answers.
+    /// The stream id that the upstream reports.
     std::string stream;
     attempt_number attempt = 0;
-    /// Tokens [first_token, first_token + token_count) are in `text`.
+    /// `text` contains the tokens [first_token, first_token + token_count).
     std::uint32_t first_token = 0;
     std::uint32_t token_count = 0;
     std::string text;
-    /// The weights that produced these tokens; 0 if the upstream does not say.
+    /// The weight version that produced these tokens; 0 if not reported.
     weight_version version = 0;
-    /// The upstream says that the answer is complete.
+    /// Finish mark: the upstream reports the answer as complete.
     bool is_finish = false;
-    /// With the finish mark: how many tokens the answer has.
+    /// Number of tokens in the answer; only set with the finish mark.
     std::optional<std::uint32_t> total_tokens;
-    /// With the finish mark: the upstream's summary of versions, if any.
+    /// The upstream's summary of versions; only set with the finish mark, and
+    /// may be empty.
     std::vector<version_range> versions;
 };
 
-/// What is known about an answer so far.
+/// State of an answer.
 enum class answer_verdict : std::uint8_t {
-    /// Tokens may still come.
+    /// More tokens may arrive.
     open,
-    /// Every token came once and the finish mark agrees.
-    whole,
-    /// Tokens or the finish mark are missing. A resume may mend it.
+    /// Every token arrived exactly once and the finish mark matches.
+    complete,
+    /// Tokens or the finish mark are missing. A resume may complete the answer.
     truncated,
-    /// The stream carried another request's or a never begun run's answer.
-    crossed,
-    /// Tokens or the finish mark came twice.
-    doubled,
+    /// The stream contained an event of another request, or of a run that was
+    /// never started.
+    mismatched,
+    /// Tokens or the finish mark arrived twice.
+    duplicated,
 };
 
-/// Puts one answer together and says whether it is whole.
+/// Assembles an answer from stream events and detects whether it is complete.
 ///
-/// Answers are matched by stream and attempt. Events of an earlier attempt
-/// are late and are dropped; anything else that does not fit taints the answer
-/// for good. Not thread safe.
+/// Events are matched by stream and attempt. Late events of an earlier attempt
+/// are dropped; any other mismatch or duplicate makes the answer permanently
+/// invalid. Not thread safe.
 class answer_assembler {
 public:
     /// Precondition: `stream` is not empty.
     answer_assembler(std::string stream, attempt_number attempt);
 
-    /// Takes one event; returns true if its text belongs to the answer and
-    /// may be passed on.
+    /// Processes an event. Returns true if its text belongs to the answer and
+    /// may be forwarded to the caller.
     bool accept(const stream_event& event);
 
-    /// The connection ended. Without a finish mark the answer is truncated.
+    /// Call when the connection has ended. An answer without a finish mark is
+    /// then truncated.
     void end_stream();
 
-    /// Goes on with a later attempt at token `next_token`, here or on another
-    /// upstream. Returns false unless the answer is open or truncated and the
-    /// attempt is a later one.
+    /// Continues the answer from token `next_token` with a later attempt, on
+    /// the same or another upstream. Returns false unless the answer is open or
+    /// truncated and `attempt` is greater than the current one.
     bool resume(attempt_number attempt);
 
     [[nodiscard]] answer_verdict verdict() const { return verdict_; }
@@ -76,12 +79,12 @@
     [[nodiscard]] const std::string& stream() const { return stream_; }
     [[nodiscard]] const std::string& text() const { return text_; }
 
-    /// The versions of a whole answer. Errors: `sample_version_unknown`,
-    /// `failed_truncated` if the answer is not whole.
+    /// The weight versions of a complete answer. Errors:
+    /// `sample_version_unknown`, `failed_truncated` if it is not complete.
     [[nodiscard]] outcome<std::vector<version_range>> versions() const;
 
 private:
-    [[nodiscard]] bool is_tainted() const;
+    [[nodiscard]] bool is_invalid() const;
     void append(const stream_event& event);
     void finish(const stream_event& event);
 
--- a/servers/delivery/attempt_gate.cpp
+++ b/servers/delivery/attempt_gate.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// A lease for claims is replaced after this part of its life.
-constexpr int lease_parts = 24;
+/// The lease for claims is replaced after this fraction of its lifetime.
+constexpr int lease_renewal_divisor = 24;
 
-/// What a claim in the platform's store says.
+/// Value of a claim in the platform's store.
 struct claim_value {
     instance_id instance;
     std::string nonce;
@@ -27,7 +27,8 @@
             .body = wire::encode(body)};
 }
 
-/// One part of a store key that no other parts can be mistaken for.
+/// Encodes one part of a store key with its length, so that different parts
+/// cannot produce the same key.
 std::string key_part(const std::string& text) {
     return std::to_string(text.size()) + '.' + text + '/';
 }
@@ -37,18 +38,20 @@
 attempt_gate::attempt_gate(attempt_gate_options options, key_ledger& ledger)
     : options_(std::move(options))
     , ledger_(ledger)
-    , ask_budget_(options_.asks_per_second)
+    , query_budget_(options_.peer_queries_per_second)
     , claim_budget_(options_.claims_per_second) {}
 
-void attempt_gate::seek(right_query query, steady_time now, command_list& out) {
-    search one{.query = std::move(query)};
-    one.ask = options_.self.text() + '/' + options_.boot + '/' +
-              std::to_string(++last_ask_);
-    search& kept = pending_.emplace(one.ask, one).first->second;
-    if (kept.query.attempt == 0) {
-        return start_claim(kept, now, out);
+void attempt_gate::acquire(run_right_query query, steady_time now,
+                           command_list& out) {
+    pending_search search{.query = std::move(query)};
+    search.query_id = options_.self.text() + '/' + options_.boot + '/' +
+                      std::to_string(++last_query_);
+    pending_search& stored =
+        pending_.emplace(search.query_id, search).first->second;
+    if (stored.query.attempt == 0) {
+        return start_claim(stored, now, out);
     }
-    ask_next(kept, now, out);
+    query_last_instance(stored, now, out);
 }
 
 void attempt_gate::set_peers(std::vector<instance_id> peers) {
@@ -60,120 +63,128 @@
                  options_.fleet_claims_per_second / instances));
 }
 
-void attempt_gate::ask_next(search& one, steady_time now, command_list& out) {
-    const instance_id& last = one.query.last_instance;
+void attempt_gate::query_last_instance(pending_search& search, steady_time now,
+                                       command_list& out) {
+    const instance_id& last = search.query.last_instance;
     if (std::find(peers_.begin(), peers_.end(), last) == peers_.end()) {
-        return ask_all(one, now, out);
+        return query_peers(search, now, out);
     }
-    one.at = stage::asking_one;
-    one.stage_end = now + options_.peer_wait;
-    send_ask(one, last, out);
+    search.current_stage = stage::querying_last_instance;
+    search.stage_end = now + options_.peer_timeout;
+    send_query(search, last, out);
 }
 
-void attempt_gate::ask_all(search& one, steady_time now, command_list& out) {
+void attempt_gate::query_peers(pending_search& search, steady_time now,
+                               command_list& out) {
     const std::size_t count = std::min(peers_.size(), options_.max_peers);
-    if (count == 0 || !ask_budget_.try_spend(now)) {
-        return refuse(one, result_code::unknown_attempt_not_remembered, false,
-                      now);
+    if (count == 0 || !query_budget_.try_spend(now)) {
+        return refuse(search, result_code::unknown_attempt_not_remembered,
+                      false, now);
     }
-    one.at = stage::asking_all;
-    one.stage_end = now + options_.peer_wait;
+    search.current_stage = stage::querying_peers;
+    search.stage_end = now + options_.peer_timeout;
     for (std::size_t i = 0; i < count; ++i) {
-        send_ask(one, peers_[i], out);
+        send_query(search, peers_[i], out);
     }
 }
 
-void attempt_gate::send_ask(search& one, const instance_id& peer,
-                            command_list& out) {
-    one.waiting.insert(peer);
+void attempt_gate::send_query(pending_search& search, const instance_id& peer,
+                              command_list& out) {
+    search.awaited_peers.insert(peer);
     delivery_message body;
-    body.asked = key_ask{
-        .ask = one.ask, .key = one.query.key, .attempt = one.query.attempt};
-    if (one.at == stage::asking_claimant) {
-        body.asked->claim = one.claim;
+    body.key_queried = key_query{.query_id = search.query_id,
+                                 .key = search.query.key,
+                                 .attempt = search.query.attempt};
+    if (search.current_stage == stage::querying_claimant) {
+        body.key_queried->claim = search.claim;
     }
     out.emplace_back(message_to(options_.self, peer, body));
 }
 
-void attempt_gate::on_ask(const instance_id& from, const key_ask& ask,
-                          steady_time now, command_list& out) {
-    const key_record record =
-        ledger_.hand_over(ask.key, ask.ask, ask.attempt, ask.claim, now);
+void attempt_gate::on_query(const instance_id& from, const key_query& query,
+                            steady_time now, command_list& out) {
+    const key_record record = ledger_.hand_over(
+        query.key, query.query_id, query.attempt, query.claim, now);
     delivery_message body;
-    body.replied =
-        key_reply{.ask = ask.ask,
+    body.key_replied =
+        key_reply{.query_id = query.query_id,
                   .state = record.state,
                   .code = record.code,
                   .is_handed_over = record.state == key_state::transferred &&
-                                    record.transferred_to == ask.ask};
+                                    record.transferred_to == query.query_id};
     if (record.answer) {
-        body.replied->answer = *record.answer;
+        body.key_replied->answer = *record.answer;
     }
     out.emplace_back(message_to(options_.self, from, body));
 }
 
 void attempt_gate::on_reply(const instance_id& from, const key_reply& reply,
                             steady_time now, command_list& out) {
-    const auto found = pending_.find(reply.ask);
-    // A search that has ended takes no late right: it may have been used.
-    if (found == pending_.end() || found->second.waiting.erase(from) == 0) {
+    const auto found = pending_.find(reply.query_id);
+    // A finished search ignores a late transfer: the right may already have
+    // been used.
+    if (found == pending_.end() ||
+        found->second.awaited_peers.erase(from) == 0) {
         return;
     }
-    search& one = found->second;
+    pending_search& search = found->second;
     if (reply.is_handed_over) {
-        return give_right(one, now);
+        return grant_run(search, now);
     }
     if (reply.state == key_state::finished && reply.answer) {
-        return give_answer(one, *reply.answer, now);
+        return finish_with_answer(search, *reply.answer, now);
     }
     if (reply.state == key_state::running) {
-        return refuse(one, result_code::unknown_in_progress, false, now);
+        return refuse(search, result_code::unknown_in_progress, false, now);
     }
     if (reply.state == key_state::unknown) {
         const bool is_unknown = classify(reply.code) == result_class::unknown;
-        return refuse(
-            one, is_unknown ? reply.code : result_code::unknown_upstream_lost,
-            false, now);
+        return refuse(search,
+                      is_unknown ? reply.code
+                                 : result_code::unknown_upstream_lost,
+                      false, now);
     }
-    if (one.waiting.empty()) {
-        pass_stage_end(one, now, out);
+    if (search.awaited_peers.empty()) {
+        finish_stage(search, now, out);
     }
 }
 
-void attempt_gate::start_claim(search& one, steady_time now,
+void attempt_gate::start_claim(pending_search& search, steady_time now,
                                command_list& out) {
-    one.claim = ledger_.find(one.query.key).claim;
-    if (one.claim.empty()) {
-        one.claim = wire::encode(
-            claim_value{.instance = options_.self, .nonce = one.ask});
-        ledger_.note_claim(one.query.key, one.claim);
+    search.claim = ledger_.find(search.query.key).claim;
+    if (search.claim.empty()) {
+        search.claim = wire::encode(
+            claim_value{.instance = options_.self, .nonce = search.query_id});
+        ledger_.note_claim(search.query.key, search.claim);
     }
     if (!claim_budget_.try_spend(now)) {
-        return refuse(one, result_code::unknown_earlier_sending, true, now);
+        return refuse(search, result_code::unknown_earlier_sending, true, now);
     }
-    one.stage_end = std::min(one.query.deadline, now + options_.claim_wait);
+    search.stage_end =
+        std::min(search.query.deadline, now + options_.claim_timeout);
     if (has_lease(now)) {
-        return claim(one, now, out);
+        return claim(search, now, out);
     }
-    one.at = stage::waiting_for_lease;
+    search.current_stage = stage::waiting_for_lease;
     request_lease(now, out);
 }
 
-void attempt_gate::claim(search& one, steady_time /*now*/, command_list& out) {
-    one.at = stage::claiming;
+void attempt_gate::claim(pending_search& search, steady_time /*now*/,
+                         command_list& out) {
+    search.current_stage = stage::claiming;
     static_cast<void>(
-        call_platform(one.ask,
-                      compare_and_swap{.key = claim_key(one.query.key),
-                                       .value = one.claim,
+        call_platform(search.query_id,
+                      compare_and_swap{.key = claim_key(search.query.key),
+                                       .value = search.claim,
                                        .lease = lease_},
                       out));
 }
 
-void attempt_gate::read_claim(search& one, steady_time /*now*/,
+void attempt_gate::read_claim(pending_search& search, steady_time /*now*/,
                               command_list& out) {
-    one.at = stage::reading;
+    search.current_stage = stage::reading;
     static_cast<void>(call_platform(
-        one.ask, read_range{.key = claim_key(one.query.key)}, out));
+        search.query_id, read_range{.key = claim_key(search.query.key)}, out));
 }
 
 bool attempt_gate::on_platform_reply(const platform_reply& reply,
@@ -191,64 +202,69 @@
     if (found == pending_.end()) {
         return true;
     }
-    search& one = found->second;
-    if (one.at == stage::claiming) {
+    pending_search& search = found->second;
+    if (search.current_stage == stage::claiming) {
         if (reply.answer) {
-            on_claimed(one, *reply.answer, now, out);
+            on_claimed(search, *reply.answer, now, out);
         } else {
-            // The write may have taken effect: read it back.
-            read_claim(one, now, out);
+            // The write may have taken effect, so read the claim back.
+            read_claim(search, now, out);
         }
-    } else if (one.at == stage::reading) {
+    } else if (search.current_stage == stage::reading) {
         if (reply.answer) {
-            on_read(one, *reply.answer, now, out);
+            on_read(search, *reply.answer, now, out);
         } else {
-            one.at = stage::pausing;
+            search.current_stage = stage::retrying_claim;
         }
     }
     return true;
 }
 
-void attempt_gate::on_claimed(search& one, const platform_answer& answer,
-                              steady_time now, command_list& out) {
+void attempt_gate::on_claimed(pending_search& search,
+                              const platform_answer& answer, steady_time now,
+                              command_list& out) {
     if (answer.has_swapped) {
-        return give_right(one, now);
+        return grant_run(search, now);
     }
-    read_claim(one, now, out);
+    read_claim(search, now, out);
 }
 
-void attempt_gate::on_read(search& one, const platform_answer& answer,
-                           steady_time now, command_list& out) {
+void attempt_gate::on_read(pending_search& search,
+                           const platform_answer& answer, steady_time now,
+                           command_list& out) {
     if (answer.values.empty()) {
-        // Our write may still be under way, so only creating it decides.
-        one.at = stage::pausing;
+        // The write may still be in progress; only creating the claim is
+        // conclusive.
+        search.current_stage = stage::retrying_claim;
         return;
     }
     const std::string& value = answer.values.front().value;
-    if (value == one.claim) {
-        return give_right(one, now);
+    if (value == search.claim) {
+        return grant_run(search, now);
     }
-    ask_claimant(one, value, now, out);
+    query_claimant(search, value, now, out);
 }
 
-void attempt_gate::ask_claimant(search& one, const std::string& claim,
-                                steady_time now, command_list& out) {
+void attempt_gate::query_claimant(pending_search& search,
+                                  const std::string& claim, steady_time now,
+                                  command_list& out) {
     const auto value = wire::decode<claim_value>(claim);
     const bool is_reachable =
         value && std::find(peers_.begin(), peers_.end(), value->instance) !=
                      peers_.end();
     if (!is_reachable) {
-        return refuse(one, result_code::unknown_claimed_elsewhere, false, now);
+        return refuse(search, result_code::unknown_claimed_elsewhere, false,
+                      now);
     }
-    one.at = stage::asking_claimant;
-    one.claim = claim;
-    one.stage_end = now + options_.peer_wait;
-    send_ask(one, value->instance, out);
+    search.current_stage = stage::querying_claimant;
+    search.claim = claim;
+    search.stage_end = now + options_.peer_timeout;
+    send_query(search, value->instance, out);
 }
 
 bool attempt_gate::has_lease(steady_time now) const {
-    return lease_ != 0 &&
-           now - lease_granted_ < options_.claim_retention / lease_parts;
+    return lease_ != 0 && now - lease_granted_ <
+                              options_.claim_retention / lease_renewal_divisor;
 }
 
 void attempt_gate::request_lease(steady_time /*now*/, command_list& out) {
@@ -268,23 +284,23 @@
         lease_granted_ = now;
     }
     for (auto next = pending_.begin(); next != pending_.end();) {
-        search& one = (next++)->second;
-        if (one.at != stage::waiting_for_lease) {
+        pending_search& search = (next++)->second;
+        if (search.current_stage != stage::waiting_for_lease) {
             continue;
         }
         if (reply.answer) {
-            claim(one, now, out);
+            claim(search, now, out);
         } else {
-            refuse(one, result_code::unknown_earlier_sending, true, now);
+            refuse(search, result_code::unknown_earlier_sending, true, now);
         }
     }
 }
 
-std::uint64_t attempt_gate::call_platform(const std::string& ask,
+std::uint64_t attempt_gate::call_platform(const std::string& query_id,
                                           platform_request request,
                                           command_list& out) {
     const std::uint64_t ticket = ++last_ticket_;
-    tickets_.emplace(ticket, ask);
+    tickets_.emplace(ticket, query_id);
     out.emplace_back(
         platform_call{.ticket = ticket, .request = std::move(request)});
     return ticket;
@@ -292,61 +308,65 @@
 
 void attempt_gate::on_tick(steady_time now, command_list& out) {
     for (auto next = pending_.begin(); next != pending_.end();) {
-        search& one = (next++)->second;
-        if (now >= one.stage_end) {
-            pass_stage_end(one, now, out);
-        } else if (one.at == stage::pausing) {
-            claim(one, now, out);
+        pending_search& search = (next++)->second;
+        if (now >= search.stage_end) {
+            finish_stage(search, now, out);
+        } else if (search.current_stage == stage::retrying_claim) {
+            claim(search, now, out);
         }
     }
 }
 
-void attempt_gate::pass_stage_end(search& one, steady_time now,
-                                  command_list& out) {
-    switch (one.at) {
-    case stage::asking_one:
-        one.waiting.clear();
-        return ask_all(one, now, out);
-    case stage::asking_all:
-        return refuse(one, result_code::unknown_attempt_not_remembered, false,
+void attempt_gate::finish_stage(pending_search& search, steady_time now,
+                                command_list& out) {
+    switch (search.current_stage) {
+    case stage::querying_last_instance:
+        search.awaited_peers.clear();
+        return query_peers(search, now, out);
+    case stage::querying_peers:
+        return refuse(search, result_code::unknown_attempt_not_remembered,
+                      false, now);
+    case stage::querying_claimant:
+        return refuse(search, result_code::unknown_claimed_elsewhere, false,
                       now);
-    case stage::asking_claimant:
-        return refuse(one, result_code::unknown_claimed_elsewhere, false, now);
     case stage::waiting_for_lease:
     case stage::claiming:
     case stage::reading:
-    case stage::pausing:
-        // The claim may be ours: our record says so to whoever reads it.
-        return refuse(one, result_code::unknown_earlier_sending, true, now);
+    case stage::retrying_claim:
+        // This instance may own the claim. Its ledger record tells that to any
+        // instance that reads the claim and asks.
+        return refuse(search, result_code::unknown_earlier_sending, true, now);
     }
 }
 
-void attempt_gate::give_right(search& one, steady_time now) {
-    if (one.at == stage::asking_claimant) {
-        ledger_.note_claim(one.query.key, one.claim);
+void attempt_gate::grant_run(pending_search& search, steady_time now) {
+    if (search.current_stage == stage::querying_claimant) {
+        ledger_.note_claim(search.query.key, search.claim);
     }
-    const bool is_granted = ledger_.grant(one.query.key, now);
-    finish(one, {.may_run = is_granted,
-                 .code = is_granted ? result_code::ok
-                                    : result_code::unknown_in_progress});
+    const bool is_granted = ledger_.grant(search.query.key, now);
+    finish(search, {.may_run = is_granted,
+                    .code = is_granted ? result_code::ok
+                                       : result_code::unknown_in_progress});
 }
 
-void attempt_gate::give_answer(search& one, const recorded_answer& answer,
-                               steady_time now) {
-    ledger_.adopt(one.query.key, answer, now);
-    finish(one, {.code = answer.code,
-                 .answer = std::make_shared<const recorded_answer>(answer)});
+void attempt_gate::finish_with_answer(pending_search& search,
+                                      const recorded_answer& answer,
+                                      steady_time now) {
+    ledger_.adopt(search.query.key, answer, now);
+    finish(search, {.code = answer.code,
+                    .answer = std::make_shared<const recorded_answer>(answer)});
 }
 
-void attempt_gate::refuse(search& one, result_code code, bool right_is_here,
-                          steady_time now) {
-    ledger_.refuse(one.query.key, code, right_is_here, now);
-    finish(one, {.code = code});
+void attempt_gate::refuse(pending_search& search, result_code code,
+                          bool may_hold_right, steady_time now) {
+    ledger_.refuse(search.query.key, code, may_hold_right, now);
+    finish(search, {.code = code});
 }
 
-void attempt_gate::finish(search& one, const right_answer& answer) {
-    const auto done = std::move(one.query.done);
-    pending_.erase(one.ask);
+void attempt_gate::finish(pending_search& search,
+                          const run_right_result& answer) {
+    const auto done = std::move(search.query.done);
+    pending_.erase(search.query_id);
     if (done) {
         done(answer);
     }
@@ -357,9 +377,10 @@
            key_part(key.caller.text()) + key_part(key.key.text());
 }
 
-result_code refusal_of(result_code code, bool is_keyed, call_attempt attempt) {
-    const bool may_be_believed = !is_keyed || attempt == 1;
-    if (may_be_believed || classify(code) != result_class::not_run) {
+result_code refusal_code_for(result_code code, bool is_keyed,
+                             call_attempt attempt) {
+    const bool is_reliable = !is_keyed || attempt == 1;
+    if (is_reliable || classify(code) != result_class::not_run) {
         return code;
     }
     return result_code::unknown_earlier_sending;
--- a/servers/delivery/call_key.hpp
+++ b/servers/delivery/call_key.hpp
@@ -10,7 +10,8 @@
 
 namespace savorydock {
 
-/// A caller's idempotency key; keys of distinct callers never meet.
+/// A caller's idempotency key, scoped to the service and the caller: equal keys
+/// of different callers are distinct.
 struct call_key {
     service_name service;
     caller_id caller;
--- a/servers/delivery/crash_suspicion.cpp
+++ b/servers/delivery/crash_suspicion.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr std::size_t marks_to_hold = 2;
+constexpr std::size_t marks_to_block = 2;
 
 } // namespace
 
 crash_suspicion::crash_suspicion(crash_suspicion_options options)
     : options_(std::move(options)) {}
 
-suspicion_update crash_suspicion::note_loss(const std::vector<run_lost>& runs,
-                                            steady_time now) {
+suspicion_update crash_suspicion::record_loss(const std::vector<lost_run>& runs,
+                                              steady_time now) {
     suspicion_update update;
-    for (const run_lost& run : runs) {
+    for (const lost_run& run : runs) {
         crash_mark mark{.incident = options_.self.text() + '/' + options_.boot +
                                     '/' + std::to_string(++last_incident_),
                         .fingerprint = run.fingerprint,
                         .service = run.service,
                         .upstream = run.upstream,
-                        .is_alone = run.is_alone,
-                        .remaining = options_.lapse};
-        if (!add(mark, now + options_.lapse)) {
+                        .is_sole_suspect = run.is_sole_suspect,
+                        .remaining = options_.mark_lifetime};
+        if (!add(mark, now + options_.mark_lifetime)) {
             continue;
         }
         recent_.push_back({.time = now,
@@ -35,7 +35,7 @@
                            .incidents = {mark.incident}});
         update.marks.push_back(std::move(mark));
     }
-    if (is_cut(now)) {
+    if (is_partition(now)) {
         for (const recent_loss& loss : std::exchange(recent_, {})) {
             for (const std::string& incident : loss.incidents) {
                 remove(incident, now);
@@ -46,9 +46,9 @@
     return update;
 }
 
-bool crash_suspicion::is_cut(steady_time now) {
+bool crash_suspicion::is_partition(steady_time now) {
     while (!recent_.empty() &&
-           now - recent_.front().time > options_.cut_window) {
+           now - recent_.front().time > options_.partition_window) {
         recent_.pop_front();
     }
     std::map<upstream_id, std::set<std::string>> lost;
@@ -56,13 +56,13 @@
         lost[loss.upstream].insert(loss.fingerprints.begin(),
                                    loss.fingerprints.end());
     }
-    if (lost.size() < options_.cut_upstreams) {
+    if (lost.size() < options_.partition_upstreams) {
         return false;
     }
     std::set<std::string> common = lost.begin()->second;
     for (const auto& entry : lost) {
-        std::erase_if(common, [&](const std::string& one) {
-            return !entry.second.contains(one);
+        std::erase_if(common, [&](const std::string& fingerprint) {
+            return !entry.second.contains(fingerprint);
         });
     }
     return common.empty();
@@ -87,8 +87,9 @@
         remove(incident, now);
     }
     for (const crash_mark& mark : update.marks) {
-        const auto remaining = std::clamp(
-            mark.remaining, std::chrono::milliseconds(0), options_.lapse);
+        const auto remaining =
+            std::clamp(mark.remaining, std::chrono::milliseconds(0),
+                       options_.mark_lifetime);
         static_cast<void>(add(mark, now + remaining));
     }
 }
@@ -98,7 +99,7 @@
         marks_.size() >= options_.max_marks) {
         return false;
     }
-    if (!marks_.emplace(mark.incident, kept_mark{mark, end}).second) {
+    if (!marks_.emplace(mark.incident, stored_mark{mark, end}).second) {
         return false;
     }
     by_fingerprint_[mark.fingerprint].insert(mark.incident);
@@ -106,7 +107,7 @@
 }
 
 void crash_suspicion::remove(const std::string& incident, steady_time now) {
-    cleared_[incident] = now + options_.lapse;
+    cleared_[incident] = now + options_.mark_lifetime;
     const auto found = marks_.find(incident);
     if (found == marks_.end()) {
         return;
@@ -121,9 +122,9 @@
 
 void crash_suspicion::expire(steady_time now) {
     for (auto next = marks_.begin(); next != marks_.end();) {
-        const auto one = next++;
-        if (now >= one->second.end) {
-            const std::string incident = one->first;
+        const auto current = next++;
+        if (now >= current->second.end) {
+            const std::string incident = current->first;
             remove(incident, now);
         }
     }
@@ -131,30 +132,30 @@
                   [now](const auto& entry) { return now >= entry.second; });
 }
 
-bool crash_suspicion::is_held(std::string_view fingerprint) const {
+bool crash_suspicion::is_blocked(std::string_view fingerprint) const {
     const auto found = by_fingerprint_.find(fingerprint);
     if (found == by_fingerprint_.end()) {
         return false;
     }
-    // Several observers of one crash give one mark, not several.
+    // A crash that several instances observed counts as one mark.
     std::set<std::pair<upstream_id, bool>> distinct;
     for (const std::string& incident : found->second) {
         const crash_mark& mark = marks_.at(incident).mark;
-        distinct.emplace(mark.upstream, mark.is_alone);
+        distinct.emplace(mark.upstream, mark.is_sole_suspect);
     }
-    return distinct.size() >= marks_to_hold;
+    return distinct.size() >= marks_to_block;
 }
 
 std::shared_ptr<const suspect_view> crash_suspicion::view() const {
-    auto all = std::make_shared<suspect_view>();
+    auto result = std::make_shared<suspect_view>();
     for (const auto& [fingerprint, incidents] : by_fingerprint_) {
-        suspect& one = (*all)[fingerprint];
-        one.is_held = is_held(fingerprint);
+        suspect& entry = (*result)[fingerprint];
+        entry.is_blocked = is_blocked(fingerprint);
         for (const std::string& incident : incidents) {
-            one.excluded.push_back(marks_.at(incident).mark.upstream);
+            entry.excluded.push_back(marks_.at(incident).mark.upstream);
         }
     }
-    return all;
+    return result;
 }
 
 } // namespace savorydock
--- a/servers/delivery/crash_suspicion.hpp
+++ b/servers/delivery/crash_suspicion.hpp
@@ -16,69 +16,75 @@
 
 namespace savorydock {
 
-/// What is held against one request, for traffic to read.
+/// Suspicion state of one request, read by the traffic threads.
 struct suspect {
-    /// It is refused with `not_run_suspect_request`.
-    bool is_held = false;
-    /// Upstreams that were lost while it ran; it must not go there again.
+    /// The request is refused with `not_run_suspect_request`.
+    bool is_blocked = false;
+    /// Upstreams that were lost while running the request; it must not be sent
+    /// to them again.
     std::vector<upstream_id> excluded;
 };
 
-/// Requests under suspicion by fingerprint. Immutable, hence thread safe.
+/// Suspected requests by fingerprint. Immutable, hence thread safe.
 using suspect_view = std::map<std::string, suspect, std::less<>>;
 
-/// A run that ended with the loss of its upstream after bytes were sent.
-struct run_lost {
+/// A run whose upstream was lost after bytes of the request had been sent.
+struct lost_run {
     service_name service;
     upstream_id upstream;
     std::string fingerprint;
-    /// It ran under a permit, hence without another suspect beside it.
-    bool is_alone = false;
+    /// The run had a permit, so no other suspect ran on the upstream.
+    bool is_sole_suspect = false;
 };
 
 struct crash_suspicion_options {
     instance_id self;
     /// Unique over the restarts of this instance.
     std::string boot;
-    /// How long a mark holds.
-    std::chrono::milliseconds lapse{600'000};
-    /// So many upstreams lost within `cut_window` without one request common
-    /// to all are a cut of the network, not crashes.
-    std::size_t cut_upstreams = 3;
-    std::chrono::milliseconds cut_window{2'000};
+    /// How long a mark stays valid.
+    std::chrono::milliseconds mark_lifetime{600'000};
+    /// The loss of this many upstreams within `partition_window`, with no
+    /// request common to all of them, counts as a network partition and not as
+    /// crashes.
+    std::size_t partition_upstreams = 3;
+    std::chrono::milliseconds partition_window{2'000};
     std::size_t max_marks = 8'192;
 };
 
-/// Which requests coincide with the loss of upstreams.
+/// Tracks which requests were running when upstreams were lost, to find
+/// requests that crash upstreams.
 ///
-/// Every loss of an upstream marks each request that ran there. A request with
-/// two distinct marks is held; one that finishes is cleared. Marks and
-/// clearings are sets with unique members: merged in any order and number of
-/// times they give the same state on all instances. Control thread only.
+/// Each loss of an upstream adds a mark to every request that ran there. A
+/// request with two distinct marks is blocked; a request that finishes is
+/// cleared. Marks and clearings are sets with unique members, so merging
+/// updates in any order and any number of times gives the same state on all
+/// instances. Control thread only.
 class crash_suspicion {
 public:
     explicit crash_suspicion(crash_suspicion_options options);
 
-    /// Marks the requests of a loss. Returns what the peers must hear.
-    [[nodiscard]] suspicion_update note_loss(const std::vector<run_lost>& runs,
-                                             steady_time now);
+    /// Marks the requests that ran on lost upstreams. Returns the update to
+    /// send to the peers.
+    [[nodiscard]] suspicion_update
+    record_loss(const std::vector<lost_run>& runs, steady_time now);
 
-    /// Clears a request: it has finished, or an operator says so. Marks made
-    /// after this count anew. Returns what the peers must hear.
+    /// Removes all marks of a request, because it finished or an operator
+    /// cleared it. Later marks count again. Returns the update to send to the
+    /// peers.
     [[nodiscard]] suspicion_update clear(std::string_view fingerprint,
                                          steady_time now);
 
-    /// Takes what another instance knows. Its content is not trusted.
+    /// Merges the update of another instance. Its content is not trusted.
     void merge(const suspicion_update& update, steady_time now);
 
-    /// Drops what has lapsed.
+    /// Removes expired marks and clearings.
     void expire(steady_time now);
 
-    [[nodiscard]] bool is_held(std::string_view fingerprint) const;
+    [[nodiscard]] bool is_blocked(std::string_view fingerprint) const;
     [[nodiscard]] std::shared_ptr<const suspect_view> view() const;
 
 private:
-    struct kept_mark {
+    struct stored_mark {
         crash_mark mark;
         steady_time end{};
     };
@@ -91,13 +97,14 @@
 
     [[nodiscard]] bool add(const crash_mark& mark, steady_time end);
     void remove(const std::string& incident, steady_time now);
-    [[nodiscard]] bool is_cut(steady_time now);
+    [[nodiscard]] bool is_partition(steady_time now);
 
     crash_suspicion_options options_;
     std::uint64_t last_incident_ = 0;
-    std::map<std::string, kept_mark> marks_;
+    std::map<std::string, stored_mark> marks_;
     std::map<std::string, std::set<std::string>, std::less<>> by_fingerprint_;
-    /// Incidents that stay cleared, so that a late mark does not return.
+    /// Cleared incidents and when to forget them; marks of these that arrive
+    /// late are ignored.
     std::map<std::string, steady_time> cleared_;
     std::deque<recent_loss> recent_;
 };
--- a/servers/delivery/delivery_message.hpp
+++ b/servers/delivery/delivery_message.hpp
@@ -14,60 +14,61 @@
 
 namespace savorydock {
 
-/// Asks what a peer remembers of a key and for the right to run it.
-struct key_ask {
+/// Asks a peer for its record of a key and for the right to run the call.
+struct key_query {
     /// Unique over all instances and their restarts.
-    std::string ask;
+    std::string query_id;
     call_key key;
     call_attempt attempt = 0;
-    /// The peer's claim as read in the platform's store, or empty.
+    /// The peer's claim as read from the platform's store, or empty.
     std::string claim;
 };
-BOOST_DESCRIBE_STRUCT(key_ask, (), (ask, key, attempt, claim))
+BOOST_DESCRIBE_STRUCT(key_query, (), (query_id, key, attempt, claim))
 
 struct key_reply {
-    std::string ask;
+    std::string query_id;
     key_state state = key_state::forgotten;
     result_code code = result_code::ok;
-    /// The right to run moved to this ask.
+    /// The right to run was transferred to the query with this id.
     bool is_handed_over = false;
     std::optional<recorded_answer> answer;
 };
-BOOST_DESCRIBE_STRUCT(key_reply, (), (ask, state, code, is_handed_over, answer))
+BOOST_DESCRIBE_STRUCT(key_reply, (),
+                      (query_id, state, code, is_handed_over, answer))
 
-/// One coincidence of a request's run with the loss of its upstream.
+/// Records that a request was running on an upstream when it was lost.
 struct crash_mark {
     /// Unique over all instances and their restarts.
     std::string incident;
     std::string fingerprint;
     service_name service;
     upstream_id upstream;
-    /// No other suspect ran on the upstream.
-    bool is_alone = false;
-    /// The mark lapses after this time.
+    /// No other suspected request ran on the upstream.
+    bool is_sole_suspect = false;
+    /// Time until the mark expires.
     std::chrono::milliseconds remaining{0};
 };
 BOOST_DESCRIBE_STRUCT(crash_mark, (),
-                      (incident, fingerprint, service, upstream, is_alone,
-                       remaining))
+                      (incident, fingerprint, service, upstream,
+                       is_sole_suspect, remaining))
 
-/// Marks to add and incidents to clear; merged as sets, so that a doubled or
-/// reordered message changes nothing.
+/// Marks to add and incidents to clear. Updates are merged as sets, so
+/// duplicated or reordered messages have no effect.
 struct suspicion_update {
     std::vector<crash_mark> marks;
     std::vector<std::string> cleared;
 };
 BOOST_DESCRIBE_STRUCT(suspicion_update, (), (marks, cleared))
 
-/// Asks to run a suspect request on one upstream.
-struct permit_ask {
+/// Asks the arbiter for permission to run a suspected request on one upstream.
+struct permit_request {
     std::string permit;
     service_name service;
     std::string fingerprint;
     upstream_id upstream;
     std::chrono::milliseconds duration{0};
 };
-BOOST_DESCRIBE_STRUCT(permit_ask, (),
+BOOST_DESCRIBE_STRUCT(permit_request, (),
                       (permit, service, fingerprint, upstream, duration))
 
 struct permit_reply {
@@ -81,7 +82,7 @@
 };
 BOOST_DESCRIBE_STRUCT(permit_release, (), (permit))
 
-/// A session of a trainer's step was opened somewhere.
+/// Announces that an instance has opened a session of a trainer's step.
 struct step_notice {
     std::string trainer;
     std::uint64_t step = 0;
@@ -89,18 +90,18 @@
 };
 BOOST_DESCRIBE_STRUCT(step_notice, (), (trainer, step, epoch))
 
-/// The body of every peer message of topic `delivery`; one member is set.
+/// The body of a peer message of topic `delivery`; exactly one member is set.
 struct delivery_message {
-    std::optional<key_ask> asked;
-    std::optional<key_reply> replied;
+    std::optional<key_query> key_queried;
+    std::optional<key_reply> key_replied;
     std::optional<suspicion_update> suspicion;
-    std::optional<permit_ask> permit_asked;
+    std::optional<permit_request> permit_requested;
     std::optional<permit_reply> permit_replied;
     std::optional<permit_release> permit_released;
     std::optional<step_notice> step_opened;
 };
 BOOST_DESCRIBE_STRUCT(delivery_message, (),
-                      (asked, replied, suspicion, permit_asked, permit_replied,
-                       permit_released, step_opened))
+                      (key_queried, key_replied, suspicion, permit_requested,
+                       permit_replied, permit_released, step_opened))
 
 } // namespace savorydock
--- a/servers/delivery/delivery_port.hpp
+++ b/servers/delivery/delivery_port.hpp
@@ -17,25 +17,27 @@
 
 namespace savorydock {
 
-/// Asks to run a suspect on one upstream; the answer may be "not now".
+/// Asks for a permit to run a suspected request on one upstream. A refusal is
+/// temporary; the query may be repeated later.
 struct permit_query {
     service_name service;
     std::string fingerprint;
     upstream_id upstream;
-    /// The longest that the run may take.
+    /// Maximum duration of the run.
     std::chrono::milliseconds duration{0};
-    /// Called once, on the control thread: whether the run may begin, and the
-    /// name to give back in `permit_return`.
+    /// Called once, on the control thread, with whether the run may begin and
+    /// the permit id to return in `permit_return`.
     std::function<void(bool, const std::string&)> done;
 };
 
-/// A permitted run has ended; report its loss or success first.
+/// Returns the permit of a run that has ended. Submit the loss or the success
+/// of the run first.
 struct permit_return {
     service_name service;
     std::string permit;
 };
 
-/// A request under suspicion finished, or an operator clears it.
+/// A suspected request has finished, or an operator clears it.
 struct suspect_clearing {
     std::string fingerprint;
 };
@@ -46,18 +48,18 @@
 };
 
 using delivery_event =
-    std::variant<right_query, std::vector<run_lost>, suspect_clearing,
+    std::variant<run_right_query, std::vector<lost_run>, suspect_clearing,
                  permit_query, permit_return, step_opening, step_closing>;
 
-/// The traffic threads' way to `delivery_server`.
+/// Passes events from the traffic threads to `delivery_server`.
 ///
-/// Traffic calls `submit` and is called back on the control thread; the
-/// callback posts to its own executor. `suspects` is read without waiting.
-/// Thread safe; the lock is held for a push or a swap only.
+/// Traffic threads call `submit`. Callbacks run on the control thread and must
+/// post to their own executor. `suspects` does not block. Thread safe; the lock
+/// is held only for a push or a swap.
 class delivery_port {
 public:
-    /// `wake` makes the control thread call `delivery_server::serve_port` soon.
-    /// Set it before the first submit.
+    /// `wake` must make the control thread call `delivery_server::serve_port`
+    /// soon. Set it before the first submit.
     void set_wake(std::function<void()> wake) { wake_ = std::move(wake); }
 
     void submit(delivery_event event) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Takes all events. Called on the control thread.
+    /// Removes and returns all events. Call on the control thread.
     [[nodiscard]] std::vector<delivery_event> take() {
         const std::scoped_lock guard(lock_);
         return std::exchange(events_, {});
--- a/servers/delivery/delivery_server.cpp
+++ b/servers/delivery/delivery_server.cpp
@@ -27,7 +27,7 @@
 
 void delivery_server::serve_port(steady_time now, command_list& out) {
     for (delivery_event& event : port_.take()) {
-        std::visit([&](auto& one) { serve(one, now, out); }, event);
+        std::visit([&](auto& payload) { serve(payload, now, out); }, event);
     }
 }
 
@@ -35,23 +35,23 @@
     serve_port(now, out);
     gate_.on_tick(now, out);
     steps_.expire(now);
-    std::vector<std::string> silent;
-    for (const auto& [permit, waiting] : waiting_) {
+    std::vector<std::string> timed_out;
+    for (const auto& [permit, waiting] : pending_permits_) {
         if (now >= waiting.end) {
-            silent.push_back(permit);
+            timed_out.push_back(permit);
         }
     }
-    for (const std::string& permit : silent) {
-        // A grant may be under way; the run will not use it.
-        release(waiting_.at(permit).query.service, permit, out);
-        settle_permit(permit, false);
+    for (const std::string& permit : timed_out) {
+        // The arbiter may already have granted the permit; return it unused.
+        release(pending_permits_.at(permit).query.service, permit, out);
+        resolve_permit(permit, false);
     }
-    std::vector<run_lost> lost;
-    for (const permit_ask& ask : permits_.take_expired(now)) {
-        lost.push_back({.service = ask.service,
-                        .upstream = ask.upstream,
-                        .fingerprint = ask.fingerprint,
-                        .is_alone = true});
+    std::vector<lost_run> lost;
+    for (const permit_request& request : permits_.take_expired(now)) {
+        lost.push_back({.service = request.service,
+                        .upstream = request.upstream,
+                        .fingerprint = request.fingerprint,
+                        .is_sole_suspect = true});
     }
     if (!lost.empty()) {
         serve(lost, now, out);
@@ -68,32 +68,32 @@
                                      "from=" + message.from.text()});
         return;
     }
-    if (body->asked) {
-        gate_.on_ask(message.from, *body->asked, now, out);
+    if (body->key_queried) {
+        gate_.on_query(message.from, *body->key_queried, now, out);
     }
-    if (body->replied) {
-        gate_.on_reply(message.from, *body->replied, now, out);
+    if (body->key_replied) {
+        gate_.on_reply(message.from, *body->key_replied, now, out);
     }
     if (body->suspicion) {
         suspicion_.merge(*body->suspicion, now);
         port_.publish(suspicion_.view());
     }
-    if (body->permit_asked) {
+    if (body->permit_requested) {
         delivery_message reply;
         reply.permit_replied =
-            permit_reply{.permit = body->permit_asked->permit,
-                         .is_granted = grant(*body->permit_asked, now)};
+            permit_reply{.permit = body->permit_requested->permit,
+                         .is_granted = grant(*body->permit_requested, now)};
         send(message.from, reply, out);
     }
     if (body->permit_replied) {
-        settle_permit(body->permit_replied->permit,
-                      body->permit_replied->is_granted);
+        resolve_permit(body->permit_replied->permit,
+                       body->permit_replied->is_granted);
     }
     if (body->permit_released) {
         permits_.release(body->permit_released->permit);
     }
     if (body->step_opened) {
-        steps_.hear(*body->step_opened, now);
+        steps_.observe(*body->step_opened, now);
     }
 }
 
@@ -102,20 +102,21 @@
     gate_.on_platform_reply(reply, now, out);
 }
 
-void delivery_server::serve(right_query& event, steady_time now,
+void delivery_server::serve(run_right_query& event, steady_time now,
                             command_list& out) {
-    gate_.seek(std::move(event), now, out);
+    gate_.acquire(std::move(event), now, out);
 }
 
-void delivery_server::serve(const std::vector<run_lost>& event, steady_time now,
+void delivery_server::serve(const std::vector<lost_run>& event, steady_time now,
                             command_list& out) {
-    spread(suspicion_.note_loss(event, now), out);
-    for (const run_lost& run : event) {
+    broadcast_update(suspicion_.record_loss(event, now), out);
+    for (const lost_run& run : event) {
         out.emplace_back(log_command{
             log_event::request_suspected,
             "service=" + run.service.text() + " upstream=" +
                 run.upstream.text() + " fingerprint=" + run.fingerprint +
-                (suspicion_.is_held(run.fingerprint) ? " held=1" : " held=0")});
+                (suspicion_.is_blocked(run.fingerprint) ? " held=1"
+                                                        : " held=0")});
     }
 }
 
@@ -125,29 +126,29 @@
     if (update.cleared.empty()) {
         return;
     }
-    spread(update, out);
+    broadcast_update(update, out);
     out.emplace_back(log_command{log_event::request_cleared,
                                  "fingerprint=" + event.fingerprint});
 }
 
 void delivery_server::serve(permit_query& event, steady_time now,
                             command_list& out) {
-    permit_ask ask{.permit = options_.gate.self.text() + '/' +
-                             options_.gate.boot + '/' +
-                             std::to_string(++last_permit_),
-                   .service = event.service,
-                   .fingerprint = event.fingerprint,
-                   .upstream = event.upstream,
-                   .duration = event.duration};
-    const instance_id judge = arbiter(event.service);
-    waiting_[ask.permit] = {.query = std::move(event),
-                            .end = now + options_.permit_wait};
-    if (judge == options_.gate.self) {
-        return settle_permit(ask.permit, grant(ask, now));
+    permit_request request{.permit = options_.gate.self.text() + '/' +
+                                     options_.gate.boot + '/' +
+                                     std::to_string(++last_permit_),
+                           .service = event.service,
+                           .fingerprint = event.fingerprint,
+                           .upstream = event.upstream,
+                           .duration = event.duration};
+    const instance_id arbiter_id = arbiter(event.service);
+    pending_permits_[request.permit] = {.query = std::move(event),
+                                        .end = now + options_.permit_timeout};
+    if (arbiter_id == options_.gate.self) {
+        return resolve_permit(request.permit, grant(request, now));
     }
     delivery_message body;
-    body.permit_asked = ask;
-    send(judge, body, out);
+    body.permit_requested = request;
+    send(arbiter_id, body, out);
 }
 
 void delivery_server::serve(const permit_return& event, steady_time /*now*/,
@@ -160,15 +161,15 @@
     permits_.release(permit);
     delivery_message body;
     body.permit_released = permit_release{.permit = permit};
-    const instance_id judge = arbiter(service);
-    if (judge != options_.gate.self) {
-        send(judge, body, out);
+    const instance_id arbiter_id = arbiter(service);
+    if (arbiter_id != options_.gate.self) {
+        send(arbiter_id, body, out);
     }
 }
 
 void delivery_server::serve(step_opening& event, steady_time now,
                             command_list& out) {
-    // A first session has no older one that would have to hear of it.
+    // There is no older session to notify of a first session.
     const bool is_first = event.epoch == first_epoch;
     delivery_message body;
     body.step_opened = steps_.open(std::move(event), now);
@@ -198,8 +199,8 @@
     }
 }
 
-void delivery_server::spread(const suspicion_update& update,
-                             command_list& out) {
+void delivery_server::broadcast_update(const suspicion_update& update,
+                                       command_list& out) {
     if (update.marks.empty() && update.cleared.empty()) {
         return;
     }
@@ -215,18 +216,19 @@
     return arbiter_of(service, alive);
 }
 
-bool delivery_server::grant(const permit_ask& ask, steady_time now) {
-    return !suspicion_.is_held(ask.fingerprint) && permits_.grant(ask, now);
+bool delivery_server::grant(const permit_request& request, steady_time now) {
+    return !suspicion_.is_blocked(request.fingerprint) &&
+           permits_.grant(request, now);
 }
 
-void delivery_server::settle_permit(const std::string& permit,
-                                    bool is_granted) {
-    const auto found = waiting_.find(permit);
-    if (found == waiting_.end()) {
+void delivery_server::resolve_permit(const std::string& permit,
+                                     bool is_granted) {
+    const auto found = pending_permits_.find(permit);
+    if (found == pending_permits_.end()) {
         return;
     }
     const auto done = std::move(found->second.query.done);
-    waiting_.erase(found);
+    pending_permits_.erase(found);
     if (done) {
         done(is_granted, permit);
     }
--- a/servers/delivery/delivery_server.hpp
+++ b/servers/delivery/delivery_server.hpp
@@ -18,23 +18,24 @@
 struct delivery_server_options {
     attempt_gate_options gate;
     crash_suspicion_options suspicion;
-    /// How long the arbiter has to answer; silence means "not now".
-    std::chrono::milliseconds permit_wait{250};
+    /// How long to wait for the arbiter; no reply counts as a refusal.
+    std::chrono::milliseconds permit_timeout{250};
 };
 
-/// Delivery's part on the control thread: dispatches messages, events from
-/// traffic and platform replies to the gate, the suspicion and the registry.
+/// Control server of the delivery module. Dispatches peer messages, events from
+/// traffic and platform replies to the attempt gate, the crash suspicion, the
+/// permits and the step registry.
 ///
-/// Wiring: give it the same ledger and port that traffic uses, call
-/// `set_peers` when membership changes (nearest first, self left out) and
-/// `serve_port` when the port wakes the control thread. Control thread only.
+/// Use the same ledger and port as the traffic threads. Call `set_peers` when
+/// membership changes (nearest first, without this instance) and `serve_port`
+/// when the port wakes the control thread. Control thread only.
 class delivery_server final : public control_server {
 public:
     delivery_server(const delivery_server_options& options, key_ledger& ledger,
                     delivery_port& port);
 
     void set_peers(std::vector<instance_id> peers);
-    /// Serves what traffic has submitted.
+    /// Handles the events that traffic threads have submitted.
     void serve_port(steady_time now, command_list& out);
 
     [[nodiscard]] peer_topic topic() const override {
@@ -47,13 +48,13 @@
                            command_list& out) override;
 
 private:
-    struct waiting_permit {
+    struct pending_permit {
         permit_query query;
         steady_time end{};
     };
 
-    void serve(right_query& event, steady_time now, command_list& out);
-    void serve(const std::vector<run_lost>& event, steady_time now,
+    void serve(run_right_query& event, steady_time now, command_list& out);
+    void serve(const std::vector<lost_run>& event, steady_time now,
                command_list& out);
     void serve(const suspect_clearing& event, steady_time now,
                command_list& out);
@@ -65,12 +66,12 @@
     void send(const instance_id& peer, const delivery_message& body,
               command_list& out) const;
     void send_all(const delivery_message& body, command_list& out) const;
-    void spread(const suspicion_update& update, command_list& out);
+    void broadcast_update(const suspicion_update& update, command_list& out);
     [[nodiscard]] instance_id arbiter(const service_name& service) const;
-    [[nodiscard]] bool grant(const permit_ask& ask, steady_time now);
+    [[nodiscard]] bool grant(const permit_request& request, steady_time now);
     void release(const service_name& service, const std::string& permit,
                  command_list& out);
-    void settle_permit(const std::string& permit, bool is_granted);
+    void resolve_permit(const std::string& permit, bool is_granted);
 
     delivery_server_options options_;
     delivery_port& port_;
@@ -79,7 +80,7 @@
     suspect_permits permits_;
     step_registry steps_;
     std::vector<instance_id> peers_;
-    std::map<std::string, waiting_permit> waiting_;
+    std::map<std::string, pending_permit> pending_permits_;
     std::uint64_t last_permit_ = 0;
 };
 
--- a/servers/delivery/rate_budget.hpp
+++ b/servers/delivery/rate_budget.hpp
@@ -7,39 +7,40 @@
 
 namespace savorydock {
 
-/// Allows so many actions a second, with bursts of one second's worth or one
-/// action. Not thread safe.
+/// Token bucket: limits actions to a rate per second. A burst may use one
+/// second's worth of actions, but at least one. Not thread safe.
 class rate_budget {
 public:
     explicit rate_budget(double per_second)
         : per_second_(per_second)
         , burst_(std::max(1.0, per_second))
-        , left_(burst_) {}
+        , remaining_(burst_) {}
 
-    /// Changes the rate; what is left over is kept, up to the new burst.
+    /// Changes the rate; keeps unused actions up to the new burst size.
     void set_rate(double per_second) {
         per_second_ = per_second;
         burst_ = std::max(1.0, per_second);
-        left_ = std::min(left_, burst_);
+        remaining_ = std::min(remaining_, burst_);
     }
 
-    /// Takes one action out of the budget; false if it is used up.
+    /// Consumes one action. Returns false if the budget is exhausted.
     [[nodiscard]] bool try_spend(steady_time now) {
-        const std::chrono::duration<double> passed = now - filled_;
-        filled_ = now;
-        left_ = std::min(burst_, left_ + passed.count() * per_second_);
-        if (left_ < 1) {
+        const std::chrono::duration<double> elapsed = now - last_refill_;
+        last_refill_ = now;
+        remaining_ =
+            std::min(burst_, remaining_ + elapsed.count() * per_second_);
+        if (remaining_ < 1) {
             return false;
         }
-        left_ -= 1;
+        remaining_ -= 1;
         return true;
     }
 
 private:
     double per_second_;
     double burst_;
-    double left_;
-    steady_time filled_{};
+    double remaining_;
+    steady_time last_refill_{};
 };
 
 } // namespace savorydock
--- a/servers/delivery/retry_policy.cpp
+++ b/servers/delivery/retry_policy.cpp
@@ -7,39 +7,40 @@
 retry_budget::retry_budget(double fraction, double burst)
     : fraction_(fraction)
     , burst_(burst)
-    , left_(burst) {}
+    , remaining_(burst) {}
 
 void retry_budget::earn() {
     const std::scoped_lock guard(lock_);
-    left_ = std::min(burst_, left_ + fraction_);
+    remaining_ = std::min(burst_, remaining_ + fraction_);
 }
 
 bool retry_budget::try_spend() {
     const std::scoped_lock guard(lock_);
-    if (left_ < 1) {
+    if (remaining_ < 1) {
         return false;
     }
-    left_ -= 1;
+    remaining_ -= 1;
     return true;
 }
 
-retry_decision request_retries::decide(const upstream_ruling& ruling,
+retry_decision request_retries::decide(const run_classification& classification,
                                        retry_budget& budget, steady_time now) {
     ++attempts_;
-    if (ruling.fate != upstream_fate::not_begun) {
+    if (classification.execution != execution_state::not_begun) {
         may_have_begun_ = true;
     }
-    const bool is_allowed = ruling.is_repeat_useful && is_repeat_safe(ruling) &&
-                            attempts_ < options_.max_attempts &&
-                            now + options_.least_time < options_.deadline;
-    // The budget is asked last, so that nothing is spent in vain.
+    const bool is_allowed =
+        classification.is_retry_useful && is_retry_safe(classification) &&
+        attempts_ < options_.max_attempts &&
+        now + options_.min_remaining_time < options_.deadline;
+    // Check the budget last, so that only actual retries consume it.
     if (is_allowed && budget.try_spend()) {
         return {.is_retry = true};
     }
-    return {.code = give_up(ruling.code)};
+    return {.code = final_code(classification.code)};
 }
 
-result_code request_retries::give_up(result_code reason) const {
+result_code request_retries::final_code(result_code reason) const {
     if (!may_have_begun_ || classify(reason) != result_class::not_run) {
         return reason;
     }
@@ -48,11 +49,13 @@
                : result_code::unknown_upstream_lost;
 }
 
-bool request_retries::is_repeat_safe(const upstream_ruling& ruling) const {
-    if (has_passed_on_) {
+bool request_retries::is_retry_safe(
+    const run_classification& classification) const {
+    if (has_delivered_part_) {
         return false;
     }
-    return options_.is_idempotent || ruling.fate == upstream_fate::not_begun;
+    return options_.is_idempotent ||
+           classification.execution == execution_state::not_begun;
 }
 
 } // namespace savorydock
--- a/servers/delivery/step_registry.hpp
+++ b/servers/delivery/step_registry.hpp
@@ -11,33 +11,35 @@
 
 namespace savorydock {
 
-/// A session that traffic has opened.
+/// A session that a traffic thread has opened.
 struct step_opening {
     step_key key;
     session_epoch epoch = 1;
-    /// Called on the control thread, at once or later, with a newer epoch.
-    std::function<void(session_epoch)> hear_epoch;
+    /// Called on the control thread when a newer epoch is known, immediately or
+    /// later.
+    std::function<void(session_epoch)> on_newer_epoch;
 };
 
-/// The newest session epochs that this instance knows of, its own and those of
-/// other instances. Control thread only.
+/// Tracks the newest known session epoch of each step, from this and other
+/// instances, and notifies older local sessions. Control thread only.
 class step_registry {
 public:
-    /// Notes a session; returns the notice that the peers must hear.
+    /// Registers a session; returns the notice to send to the peers.
     [[nodiscard]] step_notice open(step_opening opening, steady_time now);
     void close(const step_key& key, session_epoch epoch);
-    void hear(const step_notice& notice, steady_time now);
-    /// Forgets steps of which nothing was heard for long.
+    /// Processes the notice of another instance.
+    void observe(const step_notice& notice, steady_time now);
+    /// Removes steps without an open local session that had no recent update.
     void expire(steady_time now);
 
 private:
     struct entry {
         session_epoch newest = 0;
         session_epoch local = 0;
-        std::function<void(session_epoch)> hear_epoch;
-        steady_time heard{};
+        std::function<void(session_epoch)> on_newer_epoch;
+        steady_time last_update{};
     };
-    void raise(entry& one, session_epoch epoch, steady_time now);
+    void raise_epoch(entry& known, session_epoch epoch, steady_time now);
 
     std::map<step_key, entry> steps_;
 };
--- a/servers/delivery/step_session.cpp
+++ b/servers/delivery/step_session.cpp
@@ -10,8 +10,9 @@
 constexpr std::uint64_t max_slots = 1'048'576;
 constexpr unsigned epoch_shift = 32;
 
-/// Refusals of the request itself, which every run would meet again.
-bool is_refused_for_good(result_code code) {
+/// Whether the request itself was refused, so that every run would fail the
+/// same way.
+bool is_permanent_refusal(result_code code) {
     return code == result_code::not_run_bad_request ||
            code == result_code::not_run_unauthorized ||
            code == result_code::not_run_too_large ||
@@ -60,7 +61,7 @@
 }
 
 std::optional<slot_run> step_session::next_run() {
-    // Slots that were run by name have left their place in the queue.
+    // Slots started with `run` may still have their old entry in the queue.
     while (!waiting_.empty() && !is_in(waiting_.front(), "waiting")) {
         waiting_.pop_front();
     }
@@ -96,17 +97,17 @@
 }
 
 std::optional<slot_run> step_session::resume(const slot_run& run) {
-    const auto position = find(run);
+    const auto position = find_in_flight(run);
     if (!position) {
         return std::nullopt;
     }
-    forget(*position, run.attempt);
+    remove_in_flight(*position, run.attempt);
     return start(*position);
 }
 
 result_code step_session::end_run(const slot_run& run,
                                   const answer_assembler& answer) {
-    const auto position = find(run);
+    const auto position = find_in_flight(run);
     if (!position) {
         return result_code::cancelled_by_caller;
     }
@@ -119,7 +120,7 @@
         fail_run(run, code);
         return code;
     }
-    forget(*position, run.attempt);
+    remove_in_flight(*position, run.attempt);
     cancel_others(*position);
     fire(*position, "finish");
     --counts_.running;
@@ -134,17 +135,17 @@
 }
 
 void step_session::fail_run(const slot_run& run, result_code code) {
-    const auto position = find(run);
+    const auto position = find_in_flight(run);
     if (!position) {
         return;
     }
-    forget(*position, run.attempt);
+    remove_in_flight(*position, run.attempt);
     if (code == result_code::sample_version_unknown) {
         ++counts_.discarded_unlabelled;
     } else {
         ++counts_.discarded_broken;
     }
-    if (is_refused_for_good(code)) {
+    if (is_permanent_refusal(code)) {
         cancel_others(*position);
         fire(*position, "refuse");
         --counts_.running;
@@ -153,7 +154,7 @@
     }
     if (slots_[*position].in_flight.empty()) {
         --counts_.running;
-        run_again(*position);
+        requeue(*position);
     }
 }
 
@@ -166,7 +167,7 @@
         auto sample = std::exchange(slots_[position].sample, std::nullopt);
         if (!is_fresh(sample->versions, newest, options_.staleness_bound)) {
             ++counts_.discarded_too_old;
-            run_again(position);
+            requeue(position);
             continue;
         }
         fire(position, "hand_over");
@@ -177,7 +178,7 @@
     return std::nullopt;
 }
 
-void step_session::hear_epoch(session_epoch epoch) {
+void step_session::observe_epoch(session_epoch epoch) {
     if (epoch > options_.epoch) {
         end("hear_newer_epoch");
     }
@@ -251,7 +252,8 @@
     return run;
 }
 
-std::optional<std::size_t> step_session::find(const slot_run& run) const {
+std::optional<std::size_t>
+step_session::find_in_flight(const slot_run& run) const {
     const auto position = position_of(run.slot);
     if (!is_open() || !position) {
         return std::nullopt;
@@ -264,7 +266,8 @@
     return position;
 }
 
-void step_session::forget(std::size_t position, attempt_number attempt) {
+void step_session::remove_in_flight(std::size_t position,
+                                    attempt_number attempt) {
     std::erase(slots_[position].in_flight, attempt);
 }
 
@@ -277,9 +280,9 @@
     slots_[position].in_flight.clear();
 }
 
-void step_session::run_again(std::size_t position) {
+void step_session::requeue(std::size_t position) {
     fire(position, "discard");
-    // The trainer waits for the slowest slot, so it goes first.
+    // The step takes as long as its slowest slot, so rerun this slot first.
     waiting_.push_front(position);
 }
 
--- a/servers/delivery/step_session.hpp
+++ b/servers/delivery/step_session.hpp
@@ -16,7 +16,7 @@
 
 namespace savorydock {
 
-/// A trainer's step, over all of its sessions.
+/// Identifies a trainer's step; shared by all sessions of the step.
 struct step_key {
     std::string trainer;
     std::uint64_t step = 0;
@@ -27,8 +27,8 @@
     }
 };
 
-/// Which connection of the trainer a session serves. The trainer raises it
-/// with every connect and takes samples from its newest connection only.
+/// Number of the trainer's connection that a session serves. The trainer
+/// increments it with each connection and accepts samples only from the newest.
 using session_epoch = std::uint32_t;
 
 struct step_session_options {
@@ -37,21 +37,23 @@
     session_epoch epoch = 1;
     std::uint32_t group_count = 0;
     std::uint32_t group_size = 0;
-    /// Versions that a sample may lag behind the newest at hand-over.
+    /// Maximum number of versions that a sample may be behind the newest one at
+    /// hand-over.
     std::uint32_t staleness_bound = 1;
-    /// No further run starts while so many samples wait for the trainer.
+    /// No new run starts while this many samples wait for the trainer.
     std::uint32_t max_ready = 256;
 };
 
-/// An order to run one slot, under names made from the slot alone: a later
-/// session of the step can find, resume or cancel what still runs.
+/// A run of one slot. The stream id derives from the slot alone, so a later
+/// session of the step can find, resume or cancel runs that are still active.
 struct slot_run {
     slot_id slot;
     std::string stream;
     attempt_number attempt = 0;
 };
 
-/// A whole, labelled sample, judged fresh at the moment of hand-over.
+/// A complete sample with known weight versions. Its staleness is checked at
+/// hand-over.
 struct finished_sample {
     slot_id slot;
     attempt_number attempt = 0;
@@ -70,72 +72,78 @@
     std::uint32_t discarded_broken = 0;
 };
 
-/// The numbers of one slot's runs grow within a session and from session to
-/// session, so that a late answer is always told by its number. Thread safe.
+/// Combines epoch and run so that the numbers of a slot's runs increase within
+/// a session and from session to session; late answers are recognised by their
+/// lower number. Thread safe.
 [[nodiscard]] attempt_number make_attempt(session_epoch epoch,
                                           std::uint32_t run);
 
 /// One session of a trainer's step on this instance.
 ///
-/// The trainer holds the truth: it presents what it has, the session runs the
-/// rest, hands no slot over twice and ends complete only when the trainer has
-/// every slot. Not thread safe: one traffic thread owns it. It may outlive the
-/// charts given to `open`.
+/// The trainer's set of samples is authoritative: it reports the slots that it
+/// already has, and the session runs the others. It hands no slot over twice
+/// and completes only when every slot was held by or handed over to the
+/// trainer. Not thread safe: one traffic thread owns it. Shares ownership of
+/// the charts given to `open`.
 class step_session {
 public:
-    /// Opens a session; `held` has one bit a slot, group by group.
-    /// Errors: `not_run_bad_request` if the shape or the bitmap does not fit.
+    /// Opens a session. `held` has one bit per slot, ordered by group.
+    /// Errors: `not_run_bad_request` if the number of slots, the epoch or the
+    /// size of the bitmap is invalid.
     [[nodiscard]] static outcome<step_session>
     open(std::shared_ptr<const step_charts> charts,
          const step_session_options& options, const std::vector<bool>& held);
 
-    /// The next slot to run, or nothing for now.
+    /// Starts a run of the next waiting slot; empty if none can start now.
     [[nodiscard]] std::optional<slot_run> next_run();
 
-    /// Runs this slot next, or nothing if it does not wait or too many samples
-    /// wait for the trainer.
+    /// Starts a run of this slot; empty if the slot is not waiting or too many
+    /// samples wait for the trainer.
     [[nodiscard]] std::optional<slot_run> run(const slot_id& slot);
 
-    /// A second run beside the one in flight; the first whole answer counts.
+    /// Starts a run in parallel to the one in flight. The first complete answer
+    /// is used.
     [[nodiscard]] std::optional<slot_run> hedge(const slot_id& slot);
 
-    /// A later number for a run that is resumed on another upstream, or
-    /// nothing if the run no longer counts.
+    /// Assigns a later attempt number to a run that is resumed on another
+    /// upstream; empty if the run is no longer in flight.
     [[nodiscard]] std::optional<slot_run> resume(const slot_run& run);
 
-    /// Takes the end of a run. Whole and labelled, it is ready; otherwise it
-    /// is discarded and will run again. Returns what became of it; an answer
-    /// of a run that no longer counts is `cancelled_by_caller`.
+    /// Ends a run with its answer. A complete answer with known versions
+    /// becomes ready for hand-over; any other is discarded and the slot runs
+    /// again. Returns `ok` or the reason for discarding; `cancelled_by_caller`
+    /// if the run was no longer in flight.
     result_code end_run(const slot_run& run, const answer_assembler& answer);
 
-    /// Takes a run that brought no answer. A code that another run can't mend
-    /// refuses the slot for good, the others have it run again.
+    /// Ends a run without an answer. If `code` shows that every run would be
+    /// refused, the slot is refused permanently; otherwise it runs again.
     void fail_run(const slot_run& run, result_code code);
 
-    /// Takes the next sample to write to the trainer's connection. A sample
-    /// over the staleness bound against `newest` is discarded here.
+    /// Returns the next sample to write to the trainer's connection. Discards
+    /// samples that exceed the staleness bound relative to `newest`.
     [[nodiscard]] std::optional<finished_sample>
     next_hand_over(weight_version newest);
 
-    /// A session of the step with this epoch exists somewhere.
-    void hear_epoch(session_epoch epoch);
+    /// Call when a session of the step with this epoch is known to exist, on
+    /// any instance. A newer epoch ends this session.
+    void observe_epoch(session_epoch epoch);
     void lose_trainer();
     void pass_deadline();
 
-    /// Whether the slot waits for a run.
+    /// Whether the slot is waiting for a run.
     [[nodiscard]] bool is_waiting(const slot_id& slot) const;
     /// Whether the slot needs no further run: held, handed over or refused.
     [[nodiscard]] bool is_settled(const slot_id& slot) const;
-    /// Whether further runs may start before the trainer takes a sample.
+    /// Whether new runs may start before the trainer takes a sample.
     [[nodiscard]] bool has_room() const {
         return is_open() && ready_.size() < options_.max_ready;
     }
 
-    /// How the session ended, or nothing while it is open.
+    /// How the session ended; empty while it is open.
     [[nodiscard]] std::optional<result_code> result() const;
 
-    /// Runs that no longer count; cancel them on their upstreams. Each is
-    /// returned once.
+    /// Returns runs whose answers are no longer needed, to cancel on their
+    /// upstreams. Each is returned once.
     [[nodiscard]] std::vector<slot_run> take_cancelled();
 
     [[nodiscard]] const step_counts& counts() const { return counts_; }
@@ -162,11 +170,12 @@
     [[nodiscard]] bool is_in(std::size_t position, const char* state) const;
     bool fire(std::size_t position, const char* event);
     [[nodiscard]] slot_run start(std::size_t position);
-    /// The position of a run that still counts.
-    [[nodiscard]] std::optional<std::size_t> find(const slot_run& run) const;
-    void forget(std::size_t position, attempt_number attempt);
+    /// The position of the slot of a run that is in flight.
+    [[nodiscard]] std::optional<std::size_t>
+    find_in_flight(const slot_run& run) const;
+    void remove_in_flight(std::size_t position, attempt_number attempt);
     void cancel_others(std::size_t position);
-    void run_again(std::size_t position);
+    void requeue(std::size_t position);
     void end(const char* event);
     void end_if_settled();
 
--- a/servers/delivery/suspect_permits.hpp
+++ b/servers/delivery/suspect_permits.hpp
@@ -11,28 +11,30 @@
 
 namespace savorydock {
 
-/// The arbiter's side of running suspects: a suspect runs on one upstream at a
-/// time, and an upstream runs one suspect at a time. Control thread only.
+/// Permits that this instance has granted as the arbiter. A suspected request
+/// runs on one upstream at a time, and an upstream runs one suspected request
+/// at a time. Control thread only.
 class suspect_permits {
 public:
-    /// Grants the run, or not. The same ask may be repeated.
-    [[nodiscard]] bool grant(const permit_ask& ask, steady_time now);
+    /// Returns whether the permit is granted. The same request may be repeated.
+    [[nodiscard]] bool grant(const permit_request& request, steady_time now);
     void release(const std::string& permit);
 
-    /// Takes out permits that were not released in time: their holder is gone,
-    /// perhaps with the upstream.
-    [[nodiscard]] std::vector<permit_ask> take_expired(steady_time now);
+    /// Removes and returns permits that were not released in time. Their holder
+    /// is presumed dead, and the upstream may have crashed.
+    [[nodiscard]] std::vector<permit_request> take_expired(steady_time now);
 
 private:
     struct granted_permit {
-        permit_ask ask;
+        permit_request request;
         steady_time end{};
     };
     std::map<std::string, granted_permit> granted_;
 };
 
-/// The instance that gives permits for a service among those that are alive:
-/// the same on all instances with the same list, without an election.
+/// Selects the instance that grants permits for a service from the live
+/// instances, without an election: all instances with the same list select the
+/// same one.
 /// Precondition: not empty. Thread safe.
 [[nodiscard]] instance_id arbiter_of(const service_name& service,
                                      std::span<const instance_id> alive);
--- a/servers/delivery/upstream_failure_map.hpp
+++ b/servers/delivery/upstream_failure_map.hpp
@@ -8,13 +8,13 @@
 
 namespace savorydock {
 
-/// What can be said of one run from how it ended.
-enum class upstream_fate : std::uint8_t {
-    /// The upstream can't have begun.
+/// Whether the upstream has executed a run, as far as its end shows.
+enum class execution_state : std::uint8_t {
+    /// The upstream cannot have begun.
     not_begun,
-    /// The upstream gave its own answer, which is the caller's.
+    /// The upstream returned an answer, which goes to the caller.
     answered,
-    /// It may have begun; nobody can tell.
+    /// The upstream may have begun; it cannot be determined.
     unknown,
 };
 
@@ -23,43 +23,45 @@
     refused,
     unreachable,
     connect_timed_out,
-    /// Closed while no byte of the request had been handed to the socket.
+    /// Closed before any byte of the request was handed to the socket.
     closed_before_send,
-    /// From here on bytes had been handed over.
+    /// For this and all following values, bytes were handed to the socket.
     closed_after_send,
     timed_out_after_send,
     closed_in_answer,
     answer_not_http,
 };
 
-/// What a run's end means for the request.
-struct upstream_ruling {
-    upstream_fate fate = upstream_fate::unknown;
-    /// Another upstream, or a later time, may do better.
-    bool is_repeat_useful = false;
-    /// What the caller learns if it is not repeated.
+/// Consequences of a run's end for its request.
+struct run_classification {
+    execution_state execution = execution_state::unknown;
+    /// A retry, on another upstream or later, may succeed.
+    bool is_retry_useful = false;
+    /// The code for the caller if the request is not retried.
     result_code code = result_code::unknown_upstream_lost;
 };
 
-/// One row of the table of HTTP statuses.
+/// One row of the table of HTTP statuses, with the execution state for each
+/// kind of service.
 struct status_row {
     std::uint32_t status = 0;
-    upstream_fate plain = upstream_fate::answered;
-    upstream_fate model = upstream_fate::answered;
-    bool is_repeat_useful = false;
+    execution_state plain = execution_state::answered;
+    execution_state model = execution_state::answered;
+    bool is_retry_useful = false;
 };
 
-/// Rules on a run that ended with an HTTP status. A plain service's refusal is
-/// its own answer, since only its owners know how far it had come; a model
-/// engine's 429 is its admission control speaking. Thread safe.
-[[nodiscard]] upstream_ruling rule_on_status(std::uint32_t status,
-                                             service_kind kind);
+/// Classifies a run that ended with an HTTP status. A refusal by a plain
+/// service counts as its answer, since only its owners know how far it had
+/// processed the request; a 429 from a model engine comes from its admission
+/// control, before the run begins. Thread safe.
+[[nodiscard]] run_classification classify_status(std::uint32_t status,
+                                                 service_kind kind);
 
-/// Rules on a run that ended without an HTTP status. Thread safe.
-[[nodiscard]] upstream_ruling rule_on_fault(connection_fault fault);
+/// Classifies a run that ended without an HTTP status. Thread safe.
+[[nodiscard]] run_classification classify_fault(connection_fault fault);
 
-/// The statuses with a row of their own; the others go by their class.
-/// Thread safe.
+/// The rows of individually listed statuses; other statuses are classified by
+/// their range. Thread safe.
 [[nodiscard]] std::span<const status_row> all_status_rows();
 
 } // namespace savorydock
--- a/servers/delivery/version_labels.cpp
+++ b/servers/delivery/version_labels.cpp
@@ -27,14 +27,14 @@
 }
 
 void version_labels::confirm(std::span<const version_range> summary) {
-    version_labels stated;
+    version_labels summary_labels;
     for (const version_range& range : summary) {
-        stated.add(range);
+        summary_labels.add(range);
     }
-    if (stated.fault_ != nullptr) {
-        return fail(stated.fault_);
+    if (summary_labels.fault_ != nullptr) {
+        return fail(summary_labels.fault_);
     }
-    if (stated.ranges_ != ranges_) {
+    if (summary_labels.ranges_ != ranges_) {
         fail("a summary that contradicts the tokens");
     }
 }
--- a/servers/delivery/version_labels.hpp
+++ b/servers/delivery/version_labels.hpp
@@ -9,28 +9,29 @@
 
 namespace savorydock {
 
-/// Which weights produced which tokens of one answer, through swaps in
-/// mid-stream and through a resume on another upstream.
+/// Tracks which weight version produced which tokens of one answer, including
+/// weight updates in mid-stream and a resume on another upstream.
 ///
-/// What can't be known is never guessed: one missing, gapped, overlapping or
-/// contradicting report makes the labels unknown for good. Not thread safe.
+/// Versions are never guessed: a single missing, non-contiguous, overlapping or
+/// contradicting report makes the versions permanently unknown. Not thread
+/// safe.
 class version_labels {
 public:
-    /// Adds the next tokens. They must begin where the last ones ended;
-    /// version 0 means that the upstream did not say.
+    /// Adds the range of the next tokens. It must begin where the last range
+    /// ended; version 0 means that the upstream did not report it.
     void add(version_range range);
 
-    /// Takes the upstream's own summary of the whole answer, which must agree
-    /// with what the tokens said.
+    /// Checks the upstream's summary of the whole answer, which must match the
+    /// versions reported with the tokens.
     void confirm(std::span<const version_range> summary);
 
     /// The merged ranges of an answer of `token_count` tokens.
-    /// Errors: `sample_version_unknown`. An answer without tokens names no
-    /// version and is unknown too.
+    /// Errors: `sample_version_unknown`, also for an answer without tokens,
+    /// which has no version.
     [[nodiscard]] outcome<std::vector<version_range>>
     finish(std::uint32_t token_count) const;
 
-    /// Forgets everything, for a run from the first token.
+    /// Resets all state, to start again from the first token.
     void clear();
 
 private:
@@ -44,8 +45,8 @@
 [[nodiscard]] weight_version
 oldest_version(std::span<const version_range> ranges);
 
-/// Judges staleness at hand-over: whether the oldest version in the answer
-/// lags behind the newest known one by at most `bound`. Thread safe.
+/// Staleness check at hand-over: whether the oldest version in the answer is at
+/// most `bound` versions behind the newest known one. Thread safe.
 [[nodiscard]] bool is_fresh(std::span<const version_range> ranges,
                             weight_version newest, std::uint32_t bound);
 
--- a/tests/servers/delivery/delivery_server_test.cpp
+++ b/tests/servers/delivery/delivery_server_test.cpp
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-/// Three instances whose messages arrive at once unless a link is cut.
+/// Three instances whose messages arrive immediately, unless the network is
+/// partitioned or permit replies are lost.
 class delivery_server_test : public ::testing::Test {
 protected:
     struct node {
@@ -51,7 +52,7 @@
     void deliver(const command_list& out) {
         for (const control_command& command : out) {
             const auto* const message = std::get_if<peer_message>(&command);
-            if (message == nullptr || is_cut_ || is_lost(*message)) {
+            if (message == nullptr || is_partitioned_ || is_lost(*message)) {
                 continue;
             }
             command_list answer;
@@ -63,10 +64,10 @@
 
     [[nodiscard]] bool is_lost(const peer_message& message) const {
         const auto body = wire::decode<delivery_message>(message.body);
-        return loses_permits_ && body->permit_replied;
+        return loses_permit_replies_ && body->permit_replied;
     }
 
-    /// Asks for a permit; returns its name if it is granted.
+    /// Asks for a permit; returns its id, or an empty string if it is refused.
     std::string permit(const char* name, const char* request,
                        const char* upstream) {
         std::string granted;
@@ -83,7 +84,7 @@
         return granted;
     }
 
-    static std::vector<run_lost> lost(const char* upstream) {
+    static std::vector<lost_run> lost(const char* upstream) {
         return {{.service = service_name("s"),
                  .upstream = upstream_id(upstream),
                  .fingerprint = "bad"}};
@@ -91,19 +92,20 @@
 
     std::map<instance_id, node> nodes_;
     steady_time now_{1h};
-    bool is_cut_ = false;
-    bool loses_permits_ = false;
+    bool is_partitioned_ = false;
+    bool loses_permit_replies_ = false;
 };
 
-TEST_F(delivery_server_test, bad_request_sent_elsewhere_is_held_after_two) {
+TEST_F(delivery_server_test,
+       request_lost_on_two_upstreams_is_blocked_everywhere) {
     submit("a", lost("u1"));
-    EXPECT_FALSE(at("b").port.suspects()->at("bad").is_held);
+    EXPECT_FALSE(at("b").port.suspects()->at("bad").is_blocked);
     const std::string granted = permit("b", "bad", "u2");
     ASSERT_FALSE(granted.empty());
     submit("b", lost("u2"));
     submit("b", permit_return{service_name("s"), granted});
     for (const char* const name : {"a", "b", "c"}) {
-        EXPECT_TRUE(at(name).port.suspects()->at("bad").is_held);
+        EXPECT_TRUE(at(name).port.suspects()->at("bad").is_blocked);
         EXPECT_EQ(permit(name, "bad", "u3"), "");
     }
     submit("c", suspect_clearing{"bad"});
@@ -124,58 +126,60 @@
     submit("a", lost("u1"));
     ASSERT_FALSE(permit("b", "bad", "u2").empty());
     tick(10s);
-    EXPECT_TRUE(at("c").port.suspects()->at("bad").is_held);
+    EXPECT_TRUE(at("c").port.suspects()->at("bad").is_blocked);
 }
 
-TEST_F(delivery_server_test, silent_arbiter_means_not_now_and_no_mark) {
-    is_cut_ = true;
+TEST_F(delivery_server_test, arbiter_without_reply_refuses_the_permit) {
+    is_partitioned_ = true;
     int granted = 0;
     for (const char* const name : {"a", "b", "c"}) {
         granted += permit(name, "r", "u1").empty() ? 0 : 1;
     }
-    EXPECT_LE(granted, 1) << "only the arbiter itself may run it";
+    EXPECT_LE(granted, 1) << "only the arbiter can grant itself the permit";
 }
 
-TEST_F(delivery_server_test, permit_that_was_lost_is_given_back_unused) {
+TEST_F(delivery_server_test, permit_whose_reply_was_lost_is_returned_unused) {
     submit("a", lost("u1"));
-    loses_permits_ = true;
+    loses_permit_replies_ = true;
     for (const char* const name : {"a", "b", "c"}) {
         const std::string granted = permit(name, "bad", "u2");
-        if (!granted.empty()) { // The arbiter itself needs no message.
+        if (!granted.empty()) { // The arbiter grants its own permit without a
+                                // message.
             submit(name, permit_return{service_name("s"), granted});
         }
     }
     tick(60s);
-    EXPECT_FALSE(at("a").port.suspects()->at("bad").is_held);
+    EXPECT_FALSE(at("a").port.suspects()->at("bad").is_blocked);
 }
 
 TEST_F(delivery_server_test, newer_session_elsewhere_supersedes_the_older) {
     const step_key key{.trainer = "t", .step = 3};
-    session_epoch heard = 0;
-    submit("a", step_opening{key, 1, [&](session_epoch e) { heard = e; }});
+    session_epoch announced = 0;
+    submit("a", step_opening{key, 1, [&](session_epoch e) { announced = e; }});
     submit("b", step_opening{key, 2, [](session_epoch) {}});
-    EXPECT_EQ(heard, 2U);
+    EXPECT_EQ(announced, 2U);
     session_epoch late = 0;
     submit("c", step_opening{key, 1, [&](session_epoch e) { late = e; }});
-    EXPECT_EQ(late, 2U) << "an older session is told at once";
+    EXPECT_EQ(late, 2U) << "an older session is notified immediately";
 }
 
-TEST_F(delivery_server_test, repeated_sending_gets_the_answer_from_a_peer) {
+TEST_F(delivery_server_test, repeated_attempt_gets_the_answer_from_a_peer) {
     const call_key key{service_name("s"), caller_id("c"), idempotency_key("k")};
     ASSERT_EQ(at("a").ledger.begin(key, 1, now_).verdict, key_verdict::run);
     at("a").ledger.finish(key, {.status = 201, .body = "done"}, now_);
-    ASSERT_EQ(at("b").ledger.begin(key, 2, now_).verdict, key_verdict::ask);
-    right_answer got;
-    submit("b", right_query{.key = key,
-                            .attempt = 2,
-                            .deadline = now_ + 1s,
-                            .done = [&](const auto& r) { got = r; }});
+    ASSERT_EQ(at("b").ledger.begin(key, 2, now_).verdict,
+              key_verdict::acquire_right);
+    run_right_result got;
+    submit("b", run_right_query{.key = key,
+                                .attempt = 2,
+                                .deadline = now_ + 1s,
+                                .done = [&](const auto& r) { got = r; }});
     ASSERT_TRUE(got.answer);
     EXPECT_EQ(got.answer->body, "done");
     EXPECT_FALSE(got.may_run);
 }
 
-TEST_F(delivery_server_test, frame_that_is_not_ours_is_refused) {
+TEST_F(delivery_server_test, malformed_message_is_refused) {
     command_list out;
     at("a").server->on_peer_message({.from = instance_id("b"),
                                      .to = instance_id("a"),
--- a/tests/servers/delivery/key_ledger_test.cpp
+++ b/tests/servers/delivery/key_ledger_test.cpp
@@ -35,13 +35,13 @@
     EXPECT_EQ(begin(4), key_verdict::answer_from_record);
 }
 
-TEST_F(key_ledger_test, later_attempt_of_forgotten_key_never_runs_unasked) {
-    EXPECT_EQ(begin(2), key_verdict::ask);
+TEST_F(key_ledger_test, later_attempt_of_forgotten_key_must_acquire_right) {
+    EXPECT_EQ(begin(2), key_verdict::acquire_right);
     EXPECT_EQ(begin(3), key_verdict::in_progress);
     ledger_.refuse(key_, result_code::unknown_attempt_not_remembered, false,
                    now_);
     EXPECT_EQ(begin(2), key_verdict::answer_from_record);
-    EXPECT_EQ(begin(3), key_verdict::ask);
+    EXPECT_EQ(begin(3), key_verdict::acquire_right);
     EXPECT_TRUE(ledger_.grant(key_, now_));
     EXPECT_FALSE(ledger_.grant(key_, now_));
     EXPECT_EQ(ledger_.find(key_).state, key_state::running);
@@ -50,7 +50,8 @@
 TEST_F(key_ledger_test, not_run_gives_the_right_to_one_later_attempt) {
     ASSERT_EQ(begin(1), key_verdict::run);
     ledger_.fail(key_, result_code::not_run_no_upstream, now_);
-    EXPECT_EQ(begin(1), key_verdict::answer_from_record) << "a late double";
+    EXPECT_EQ(begin(1), key_verdict::answer_from_record)
+        << "a late duplicate of attempt 1";
     EXPECT_EQ(begin(2), key_verdict::run);
     EXPECT_EQ(begin(3), key_verdict::in_progress);
     ledger_.fail(key_, result_code::unknown_upstream_lost, now_);
@@ -64,20 +65,21 @@
     ledger_.fail(key_, result_code::not_run_no_upstream, now_);
     EXPECT_EQ(ledger_.hand_over(key_, "b:1", 1, "", now_).state,
               key_state::not_run)
-        << "an asker that is not later gets nothing";
+        << "only a later attempt may receive the right";
     EXPECT_EQ(ledger_.hand_over(key_, "b:2", 2, "", now_).transferred_to,
               "b:2");
     EXPECT_EQ(ledger_.hand_over(key_, "c:1", 3, "", now_).transferred_to,
               "b:2");
     EXPECT_EQ(begin(2), key_verdict::answer_from_record);
-    EXPECT_EQ(begin(4), key_verdict::ask);
+    EXPECT_EQ(begin(4), key_verdict::acquire_right);
     EXPECT_EQ(ledger_.hand_over(key_, "b:2", 2, "", now_).state,
-              key_state::asking)
-        << "a doubled ask gets nothing once the key is sought here again";
+              key_state::acquiring_right)
+        << "a duplicate query gets nothing once this instance acquires the "
+           "right again";
 }
 
-TEST_F(key_ledger_test, claim_is_handed_over_only_to_who_names_it) {
-    ASSERT_EQ(begin(0), key_verdict::ask);
+TEST_F(key_ledger_test, claimed_key_is_handed_over_only_with_its_nonce) {
+    ASSERT_EQ(begin(0), key_verdict::acquire_right);
     ledger_.note_claim(key_, "a/1");
     ledger_.refuse(key_, result_code::not_run_platform_unavailable, true, now_);
     EXPECT_EQ(ledger_.hand_over(key_, "b:1", 0, "a/0", now_).state,
@@ -103,7 +105,7 @@
     }
 }
 
-TEST_F(key_ledger_test, record_past_its_age_is_asked_for_and_not_run) {
+TEST_F(key_ledger_test, record_past_its_retention_is_evicted) {
     ASSERT_EQ(begin(1), key_verdict::run);
     ledger_.finish(key_, {.body = "x"}, now_);
     now_ += 10s;
@@ -113,7 +115,7 @@
     EXPECT_EQ(ledger_.find(key_).state, key_state::forgotten);
 }
 
-TEST_F(key_ledger_test, answer_too_large_to_keep_is_said_to_have_run) {
+TEST_F(key_ledger_test, answer_too_large_to_keep_is_reported_as_run) {
     key_ledger small({.max_one_answer_bytes = 4});
     ASSERT_EQ(small.begin(key_, 1, now_).verdict, key_verdict::run);
     small.finish(key_, {.body = "12345"}, now_);
--- a/tests/servers/delivery/model_map_test.cpp
+++ b/tests/servers/delivery/model_map_test.cpp
@@ -13,7 +13,7 @@
 
 const std::string root = SAVORYDOCK_SOURCE_DIR;
 
-/// The names on the model's lines "transition:" and "not modelled:".
+/// The names in the lines "transition:" and "not modelled:" of a model.
 std::multiset<std::string> names_of_model(const std::string& file) {
     std::multiset<std::string> names;
     std::istringstream text(*read_text_file(root + "/docs/models/" + file));
@@ -62,7 +62,8 @@
 TEST(model_map_test, request_chart_is_sound) {
     const auto chart = state_chart::load(root + "/charts/request_life.json");
     ASSERT_TRUE(chart) << chart.reason().detail;
-    // Once bytes were handed over only an upstream's refusal is "not run".
+    // After bytes were handed to the socket, only a refusal by the upstream may
+    // end the request as "not run".
     EXPECT_FALSE(
         chart->next(chart->state("streaming"), chart->event("refuse")));
     EXPECT_FALSE(chart->next(chart->state("streaming"), chart->event("retry")));
--- a/tests/servers/delivery/retry_policy_test.cpp
+++ b/tests/servers/delivery/retry_policy_test.cpp
@@ -18,9 +18,10 @@
 
     steady_time now_{1h};
     retry_budget budget_{0.5, 2};
-    const upstream_ruling refused_ = rule_on_fault(connection_fault::refused);
-    const upstream_ruling lost_ =
-        rule_on_fault(connection_fault::closed_in_answer);
+    const run_classification refused_ =
+        classify_fault(connection_fault::refused);
+    const run_classification lost_ =
+        classify_fault(connection_fault::closed_in_answer);
 };
 
 TEST_F(retry_policy_test, faults_map_to_what_was_handed_to_the_socket) {
@@ -28,36 +29,36 @@
          {connection_fault::refused, connection_fault::unreachable,
           connection_fault::connect_timed_out,
           connection_fault::closed_before_send}) {
-        EXPECT_EQ(rule_on_fault(fault).fate, upstream_fate::not_begun);
-        EXPECT_EQ(classify(rule_on_fault(fault).code), result_class::not_run);
+        EXPECT_EQ(classify_fault(fault).execution, execution_state::not_begun);
+        EXPECT_EQ(classify(classify_fault(fault).code), result_class::not_run);
     }
     for (const auto fault : {connection_fault::closed_after_send,
                              connection_fault::timed_out_after_send,
                              connection_fault::closed_in_answer,
                              connection_fault::answer_not_http}) {
-        EXPECT_EQ(rule_on_fault(fault).fate, upstream_fate::unknown);
-        EXPECT_EQ(classify(rule_on_fault(fault).code), result_class::unknown);
+        EXPECT_EQ(classify_fault(fault).execution, execution_state::unknown);
+        EXPECT_EQ(classify(classify_fault(fault).code), result_class::unknown);
     }
 }
 
-TEST_F(retry_policy_test, only_three_statuses_are_ever_not_begun) {
+TEST_F(retry_policy_test, only_three_statuses_mean_not_begun) {
     const std::set<std::uint32_t> plain{421, 425};
     const std::set<std::uint32_t> model{421, 425, 429};
     const std::set<std::uint32_t> lost{408, 502, 504};
     for (std::uint32_t status = 100; status < 700; ++status) {
-        const auto of_plain = rule_on_status(status, service_kind::plain);
-        const auto of_model = rule_on_status(status, service_kind::model);
-        EXPECT_EQ(of_plain.fate == upstream_fate::not_begun,
+        const auto of_plain = classify_status(status, service_kind::plain);
+        const auto of_model = classify_status(status, service_kind::model);
+        EXPECT_EQ(of_plain.execution == execution_state::not_begun,
                   plain.contains(status));
-        EXPECT_EQ(of_model.fate == upstream_fate::not_begun,
+        EXPECT_EQ(of_model.execution == execution_state::not_begun,
                   model.contains(status));
-        EXPECT_EQ(of_plain.fate == upstream_fate::unknown,
+        EXPECT_EQ(of_plain.execution == execution_state::unknown,
                   lost.contains(status) || status < 200 || status >= 600);
         EXPECT_EQ(of_plain.code == result_code::ok,
                   status >= 200 && status < 400);
     }
-    EXPECT_EQ(rule_on_status(503, service_kind::model).fate,
-              upstream_fate::unknown);
+    EXPECT_EQ(classify_status(503, service_kind::model).execution,
+              execution_state::unknown);
 }
 
 TEST_F(retry_policy_test, non_idempotent_call_is_repeated_only_if_not_begun) {
@@ -73,20 +74,20 @@
     EXPECT_TRUE(one.decide(lost_, budget_, now_).is_retry);
     EXPECT_TRUE(one.decide(refused_, budget_, now_).is_retry);
     const auto decision = one.decide(refused_, budget_, now_);
-    EXPECT_FALSE(decision.is_retry) << "three attempts are the limit";
+    EXPECT_FALSE(decision.is_retry) << "max_attempts is reached";
     EXPECT_EQ(decision.code, result_code::unknown_upstream_lost);
-    EXPECT_EQ(one.give_up(result_code::not_run_deadline),
+    EXPECT_EQ(one.final_code(result_code::not_run_deadline),
               result_code::unknown_deadline);
 }
 
-TEST_F(retry_policy_test, deadline_passed_on_text_and_answers_stop_retries) {
+TEST_F(retry_policy_test, deadline_partial_delivery_and_answers_stop_retries) {
     EXPECT_FALSE(retries(true).decide(refused_, budget_, now_ + 1s).is_retry);
-    auto passed_on = retries(true);
-    passed_on.pass_on();
-    EXPECT_FALSE(passed_on.decide(lost_, budget_, now_).is_retry);
+    auto partly_delivered = retries(true);
+    partly_delivered.note_partial_delivery();
+    EXPECT_FALSE(partly_delivered.decide(lost_, budget_, now_).is_retry);
     EXPECT_FALSE(
         retries(true)
-            .decide(rule_on_status(404, service_kind::plain), budget_, now_)
+            .decide(classify_status(404, service_kind::plain), budget_, now_)
             .is_retry);
 }
 
--- a/tests/servers/delivery/step_session_test.cpp
+++ b/tests/servers/delivery/step_session_test.cpp
@@ -47,7 +47,7 @@
     std::shared_ptr<const step_charts> charts_ = load_charts();
 };
 
-TEST_F(step_session_test, slot_run_by_name_is_not_run_again_in_turn) {
+TEST_F(step_session_test, slot_started_directly_is_not_started_by_next_run) {
     auto session = open({false, false, false, true});
     const slot_id third{.trainer = "t", .step = 7, .group = 1, .index = 0};
     ASSERT_TRUE(session.run(third));
@@ -83,7 +83,7 @@
     EXPECT_EQ(opened.reason().code, result_code::not_run_bad_request);
 }
 
-TEST_F(step_session_test, sample_that_grows_old_while_ready_is_run_again) {
+TEST_F(step_session_test, sample_that_becomes_stale_while_ready_is_run_again) {
     auto session = open({true, false});
     auto run = session.next_run();
     ASSERT_EQ(session.end_run(*run, answer_of(*run, 4)), result_code::ok);
@@ -95,7 +95,8 @@
     EXPECT_TRUE(session.next_hand_over(6));
 }
 
-TEST_F(step_session_test, unlabelled_or_foreign_answer_is_run_again) {
+TEST_F(step_session_test,
+       answer_without_version_or_of_another_stream_is_run_again) {
     auto session = open({true, false});
     auto run = session.next_run();
     EXPECT_EQ(session.end_run(*run, answer_of(*run, 0)),
@@ -134,9 +135,9 @@
 TEST_F(step_session_test, newer_epoch_ends_the_session_and_its_runs) {
     auto session = open({false, false}, 2);
     const auto run = session.next_run();
-    session.hear_epoch(2);
+    session.observe_epoch(2);
     EXPECT_EQ(session.result(), std::nullopt);
-    session.hear_epoch(3);
+    session.observe_epoch(3);
     EXPECT_EQ(session.result(), result_code::step_superseded);
     EXPECT_EQ(session.take_cancelled().size(), 1U);
     EXPECT_EQ(session.end_run(*run, answer_of(*run, 4)),
@@ -151,16 +152,16 @@
     EXPECT_EQ(session.result(), result_code::step_incomplete);
 }
 
-/// Sessions of one step on several instances at once, before one trainer:
-/// any interleaving of runs, faults, reconnects and late answers.
-class step_world {
+/// Simulates concurrent sessions of one step on several instances for one
+/// trainer, with any interleaving of runs, faults, reconnects and late answers.
+class step_simulation {
 public:
-    explicit step_world(std::shared_ptr<const step_charts> charts)
+    explicit step_simulation(std::shared_ptr<const step_charts> charts)
         : charts_(std::move(charts)) {
         connect();
     }
 
-    /// The trainer connects anew; old sessions live on until they hear of it.
+    /// Reconnects the trainer. Old sessions continue until they are notified.
     void connect() {
         sessions_.push_back(*step_session::open(charts_,
                                                 {.key = {"t", 1},
@@ -186,7 +187,7 @@
             }
             break;
         case 3:
-            session.hear_epoch(epoch_);
+            session.observe_epoch(epoch_);
             break;
         case 4:
             connect();
@@ -206,7 +207,8 @@
         check(session);
     }
 
-    /// Once faults cease the newest session completes the step.
+    /// Checks that without further faults the newest session completes the
+    /// step.
     void finish() {
         connect();
         auto& session = sessions_.back();
@@ -228,7 +230,7 @@
         }
     }
 
-    /// An answer, perhaps late or doubled, reaches some session.
+    /// Delivers an answer, which may be late or duplicated, to all sessions.
     void answer(std::size_t which, weight_version version) {
         if (runs_.empty()) {
             return;
@@ -268,17 +270,17 @@
 };
 
 RC_GTEST_PROP(step_session_property_test,
-              any_interleaving_gives_each_slot_to_the_trainer_once, ()) {
-    step_world world(load_charts());
+              any_interleaving_hands_each_slot_to_the_trainer_once, ()) {
+    step_simulation simulation(load_charts());
     const auto script = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 100), rc::gen::inRange(0, 8)));
     const auto versions = *rc::gen::container<std::vector<weight_version>>(
         script.size(), rc::gen::inRange<weight_version>(1, 6));
     for (std::size_t i = 0; i < script.size(); ++i) {
-        world.act(static_cast<std::size_t>(script[i].first), script[i].second,
-                  versions[i]);
+        simulation.act(static_cast<std::size_t>(script[i].first),
+                       script[i].second, versions[i]);
     }
-    world.finish();
+    simulation.finish();
 }
 
 } // namespace savorydock
--- a/tests/servers/delivery/version_labels_test.cpp
+++ b/tests/servers/delivery/version_labels_test.cpp
@@ -15,7 +15,7 @@
     range_list added;
     range_list summary;
     std::uint32_t tokens;
-    /// Empty: the versions can't be known.
+    /// Empty if the versions cannot be determined.
     range_list expected;
 };
 
@@ -73,12 +73,13 @@
         label_case{"no_tokens", {}, {}, 0, {}}),
     [](const auto& entry) { return entry.param.name; });
 
-TEST(version_freshness_test, bound_is_held_against_the_oldest_version) {
+TEST(version_freshness_test, bound_applies_to_the_oldest_version) {
     const range_list mixed{{0, 1, 9}, {1, 2, 7}, {2, 3, 9}};
     EXPECT_EQ(oldest_version(mixed), 7U);
     EXPECT_TRUE(is_fresh(mixed, 9, 2));
     EXPECT_FALSE(is_fresh(mixed, 10, 2));
-    EXPECT_TRUE(is_fresh(mixed, 3, 0)) << "newer than what is known is fresh";
+    EXPECT_TRUE(is_fresh(mixed, 3, 0))
+        << "a version newer than the newest known one is fresh";
 }
 
 } // namespace savorydock
