--- a/drivers/batch/engine_driver.cpp
+++ b/drivers/batch/engine_driver.cpp
@@ -110,7 +110,7 @@
     mailbox_.post([this, is_informed = is_informed_(), step = std::move(step)] {
         const steady_time now = std::chrono::steady_clock::now();
         auto commands = std::make_shared<engine_commands>();
-        control_.planner().set_informed(is_informed);
+        control_.planner().set_fleet_data_current(is_informed);
         step(control_, now, *commands);
         control_.advance(now, *commands);
         const auto wakeup = control_.next_wakeup();
@@ -181,7 +181,7 @@
     decide([held = std::move(held), is_complete = awaited_.empty()](
                engine_control& control, steady_time at, engine_commands& out) {
         for (const held_run& one : held) {
-            control.planner().on_held(one, at, out.planner);
+            control.planner().on_held_run(one, at, out.planner);
         }
         if (is_complete) {
             control.planner().end_adoption();
@@ -217,8 +217,8 @@
     return record.service == options_.service;
 }
 
-job_terms engine_driver::terms_of(const job_record& record) const {
-    job_terms terms;
+job_settings engine_driver::job_settings_of(const job_record& record) const {
+    job_settings terms;
     if (!fleet_.routes) {
         return terms;
     }
@@ -292,9 +292,9 @@
             continue;
         }
         decide([record, accepted, saved, loaded = std::move(*loaded),
-                terms = terms_of(record)](engine_control& control,
-                                          steady_time now,
-                                          engine_commands& out) {
+                terms = job_settings_of(record)](engine_control& control,
+                                                 steady_time now,
+                                                 engine_commands& out) {
             control.planner().on_job(record, loaded.job, terms, loaded.listed,
                                      saved, accepted, now, out.planner);
         });
@@ -310,7 +310,7 @@
             own.push_back(entry);
         }
     }
-    engine_terms terms;
+    engine_settings terms;
     std::size_t scoring_slots = 0;
     if (fleet_.routes) {
         const service_rule* const rule =
@@ -399,9 +399,10 @@
 
 void engine_driver::carry_out_one(start_run& command) {
     const upstream_entry* const upstream = find_upstream(command.upstream);
-    std::optional<runner_wish> wish;
+    std::optional<runner_preference> wish;
     if (upstream != nullptr) {
-        wish = runner_wish{.zone = upstream->zone, .upstream = upstream->id};
+        wish =
+            runner_preference{.zone = upstream->zone, .upstream = upstream->id};
     }
     const instance_id runner = runners_.assign(
         command.ticket, directory_, std::chrono::steady_clock::now(), wish);
@@ -410,7 +411,7 @@
 
 void engine_driver::carry_out_one(start_scoring& command) {
     const steady_time now = std::chrono::steady_clock::now();
-    const auto near = kept_on_.find(command.made_by);
+    const auto near = kept_on_.find(command.text_ticket);
     instance_id runner;
     if (near != kept_on_.end() && directory_.contains(near->second)) {
         // Where the text was made: few instances connect to the scorers.
@@ -438,7 +439,7 @@
 }
 
 void engine_driver::send_orders() {
-    std::map<instance_id, run_order> orders;
+    std::map<instance_id, runner_command> orders;
     orders.swap(orders_);
     for (auto& [runner, order] : orders) {
         send_order_to(runner, std::move(order));
@@ -446,7 +447,8 @@
     watch_runners();
 }
 
-void engine_driver::send_order_to(const instance_id& runner, run_order order) {
+void engine_driver::send_order_to(const instance_id& runner,
+                                  runner_command order) {
     order.service = options_.service;
     order.term = last_term_;
     if (const auto done = released_.find(runner); done != released_.end()) {
@@ -461,7 +463,7 @@
     if (entry != directory_.end()) {
         peers_.send({.from = options_.self,
                      .to = runner,
-                     .topic = peer_topic::run_order,
+                     .topic = peer_topic::runner_command,
                      .body = wire::encode(order)},
                     entry->second.address);
     }
@@ -478,7 +480,8 @@
         if (error) {
             return;
         }
-        const auto lost = runners_.take_lost(std::chrono::steady_clock::now());
+        const auto lost =
+            runners_.take_lost_runs(std::chrono::steady_clock::now());
         if (!lost.empty()) {
             log_.write(log_event::runner_lost,
                        "service=" + options_.service.text() +
@@ -500,7 +503,8 @@
     });
 }
 
-void engine_driver::on_news(const instance_id& runner, run_news news) {
+void engine_driver::on_runner_update(const instance_id& runner,
+                                     runner_update news) {
     const steady_time now = std::chrono::steady_clock::now();
     if (news.takeover_term != 0) {
         if (news.takeover_term == last_term_ && term_.term()) {
@@ -517,7 +521,7 @@
             kept_on_[end.ticket] = runner;
         }
     }
-    for (const score_news& score : news.scores) {
+    for (const score_message& score : news.scores) {
         runners_.on_ended(score.ticket);
         if (score.has_score) {
             kept_on_[score.ticket] = runner;
@@ -525,7 +529,7 @@
     }
     std::vector<run_ticket> missing;
     if (!news.active.empty()) {
-        missing = runners_.on_news(
+        missing = runners_.on_runner_update(
             runner, {news.active.begin(), news.active.end()}, now);
         for (const run_ticket ticket : missing) {
             runners_.on_ended(ticket);
@@ -540,7 +544,7 @@
         for (const run_report& end : news.ends) {
             planner.on_run_ended(end, at);
         }
-        for (const score_news& score : news.scores) {
+        for (const score_message& score : news.scores) {
             planner.on_scored({.ticket = score.ticket,
                                .score = score.has_score
                                             ? std::optional(score.score)
--- a/drivers/batch/engine_driver.hpp
+++ b/drivers/batch/engine_driver.hpp
@@ -64,7 +64,7 @@
     void on_wanted_version(const std::string& model, weight_version version);
 
     /// An instance that runs items for this planner told what came.
-    void on_news(const instance_id& runner, run_news news);
+    void on_runner_update(const instance_id& runner, runner_update news);
 
     /// Starts nothing new, lists what is ready for at most `time` and then
     /// gives the term up. Runs go on for the next planner.
@@ -85,7 +85,7 @@
     void carry_out_one(commit_results& command);
     void carry_out_one(save_progress& command);
     void send_orders();
-    void send_order_to(const instance_id& runner, run_order order);
+    void send_order_to(const instance_id& runner, runner_command order);
     void watch_runners();
     /// Asks all instances for what they hold of an earlier planner's runs.
     void begin_takeover();
@@ -96,7 +96,7 @@
     void on_gained(const held_term& term);
     void on_lost(term_end reason);
     [[nodiscard]] bool is_own_job(const job_record& record) const;
-    [[nodiscard]] job_terms terms_of(const job_record& record) const;
+    [[nodiscard]] job_settings job_settings_of(const job_record& record) const;
     [[nodiscard]] const upstream_entry*
     find_upstream(const upstream_id& id) const;
 
@@ -121,7 +121,7 @@
     engine_driver_options options_;
     runner_pool runners_;
     /// Orders to runners that are gathered during one step.
-    std::map<instance_id, run_order> orders_;
+    std::map<instance_id, runner_command> orders_;
     /// Where whole texts and scores are kept until they are listed.
     std::map<run_ticket, instance_id> kept_on_;
     /// What may be dropped, until there is an order to send it with.
--- a/drivers/batch/item_runner.cpp
+++ b/drivers/batch/item_runner.cpp
@@ -101,7 +101,7 @@
         return run_end::not_run;
     }
     if (status == status_unprocessable) {
-        return run_end::impossible;
+        return run_end::invalid_item;
     }
     return status == status_server_error ? run_end::failed
                                          : run_end::interrupted;
--- a/drivers/batch/run_host.cpp
+++ b/drivers/batch/run_host.cpp
@@ -31,7 +31,7 @@
         return "not_run";
     case run_end::failed:
         return "failed";
-    case run_end::impossible:
+    case run_end::invalid_item:
         return "impossible";
     case run_end::wrong_version:
         return "wrong_version";
@@ -54,7 +54,7 @@
     , log_(log)
     , timer_(context) {}
 
-void run_host::on_order(const instance_id& planner, run_order order) {
+void run_host::on_order(const instance_id& planner, runner_command order) {
     const planner_key key{planner, order.service};
     store_revision& term = terms_[order.service];
     if (order.term < term) {
@@ -83,7 +83,7 @@
 }
 
 void run_host::hand_over(const planner_key& planner, store_revision term) {
-    run_news news{.service = planner.second, .takeover_term = term};
+    runner_update news{.service = planner.second, .takeover_term = term};
     std::vector<run_ticket> scorings;
     for (const auto& [ticket, run] : runs_) {
         if (run->service != planner.second || run->record->is_stopped) {
@@ -162,10 +162,10 @@
             if (error) {
                 return;
             }
-            run_news news{.service = planner.second};
+            runner_update news{.service = planner.second};
             news.ends.push_back({.ticket = ticket,
                                  .end = run_end::stopped,
-                                 .rest = {.ticket = ticket}});
+                                 .last_delta = {.ticket = ticket}});
             report_(planner.first, std::move(news));
         });
 }
@@ -228,10 +228,11 @@
                     .text = whole.text,
                     .versions = whole.versions});
     }
-    run_news news{.service = run->service};
-    news.ends.push_back({.ticket = run->task->ticket,
-                         .end = end,
-                         .rest = run->record->take_delta(run->task->ticket)});
+    runner_update news{.service = run->service};
+    news.ends.push_back(
+        {.ticket = run->task->ticket,
+         .end = end,
+         .last_delta = run->record->take_delta(run->task->ticket)});
     report_(run->planner, std::move(news));
 }
 
@@ -252,7 +253,7 @@
                 if (score) {
                     keep(*run, {.is_scoring = true, .score = *score});
                 }
-                run_news news{.service = run->service};
+                runner_update news{.service = run->service};
                 news.scores.push_back({.ticket = run->task->ticket,
                                        .has_score = score.has_value(),
                                        .score = score.value_or("")});
@@ -290,9 +291,9 @@
 }
 
 void run_host::report_events() {
-    std::map<planner_key, run_news> all;
+    std::map<planner_key, runner_update> all;
     for (const auto& [ticket, run] : runs_) {
-        run_news& news = all[{run->planner, run->service}];
+        runner_update& news = all[{run->planner, run->service}];
         news.service = run->service;
         news.active.push_back(ticket);
         if (run->record->whole.events > run->record->reported_events) {
--- a/drivers/batch/run_host.hpp
+++ b/drivers/batch/run_host.hpp
@@ -30,7 +30,8 @@
 class run_host {
 public:
     /// Brings news to a planner.
-    using reporter = std::function<void(const instance_id& planner, run_news)>;
+    using reporter =
+        std::function<void(const instance_id& planner, runner_update)>;
 
     /// Whether this instance knows that a job was ended.
     using end_test = std::function<bool(const job_id& job)>;
@@ -40,7 +41,7 @@
              instance_id self, reporter report, end_test is_ended, logger& log);
 
     /// An order of a planner came.
-    void on_order(const instance_id& planner, run_order order);
+    void on_order(const instance_id& planner, runner_command order);
 
     /// Stops all runs and reports what there is of them.
     void stop_all();
--- a/drivers/node/node_instance.cpp
+++ b/drivers/node/node_instance.cpp
@@ -99,7 +99,7 @@
     std::vector<feed_subscription> subscriptions();
     [[nodiscard]] const key_copy& control_keys() const;
     void on_peer_message(const peer_message& message);
-    void report_runs(const instance_id& planner, run_news news);
+    void report_runs(const instance_id& planner, runner_update news);
     void take_node_change(const store_change& change);
     outcome<done> listen();
     void start();
@@ -191,7 +191,7 @@
     , runner_(engine_client_, plain_, fleet_, log)
     , host_(
           context_, runner_, settings_.instance,
-          [this](const instance_id& planner, run_news news) {
+          [this](const instance_id& planner, runner_update news) {
               report_runs(planner, std::move(news));
           },
           [this](const job_id& job) {
@@ -521,19 +521,19 @@
     case peer_topic::feed_request:
         feed_.on_message(message);
         break;
-    case peer_topic::run_order: {
-        auto order = wire::decode<run_order>(message.body);
+    case peer_topic::runner_command: {
+        auto order = wire::decode<runner_command>(message.body);
         if (order) {
             host_.on_order(message.from, std::move(*order));
         }
         break;
     }
     case peer_topic::run_report: {
-        auto news = wire::decode<run_news>(message.body);
+        auto news = wire::decode<runner_update>(message.body);
         const auto engine =
             news ? engines_.find(news->service) : engines_.end();
         if (engine != engines_.end()) {
-            engine->second->on_news(message.from, std::move(*news));
+            engine->second->on_runner_update(message.from, std::move(*news));
         }
         break;
     }
@@ -550,11 +550,11 @@
 }
 
 void node_instance::impl::report_runs(const instance_id& planner,
-                                      run_news news) {
+                                      runner_update news) {
     if (planner == settings_.instance) {
         const auto engine = engines_.find(news.service);
         if (engine != engines_.end()) {
-            engine->second->on_news(planner, std::move(news));
+            engine->second->on_runner_update(planner, std::move(news));
         }
         return;
     }
--- a/servers/batch/batch_job.hpp
+++ b/servers/batch/batch_job.hpp
@@ -14,7 +14,7 @@
 using job_id = text_id<struct job_tag>;
 using item_id = text_id<struct item_tag>;
 
-/// The call that scores a finished sample.
+/// The request that scores a finished sample.
 struct scoring_call {
     std::string id;
     std::string host;
@@ -22,57 +22,58 @@
     std::string body;
 };
 
-/// One item of a batch job as its trainer sent it.
+/// One item of a batch job as submitted by the trainer.
 struct batch_item {
     item_id id;
     std::string path;
     http_headers headers;
     std::string body;
     std::uint64_t prompt_tokens = 0;
-    /// The largest number of generated tokens.
+    /// Maximum number of generated tokens; 0 if not limited.
     std::uint64_t max_tokens = 0;
-    /// The caller's estimate of the generated tokens; 0 if it gave none.
+    /// The caller's estimate of the number of generated tokens; 0 if absent.
     std::uint64_t expected_tokens = 0;
-    /// Items of a group share their prompt; empty without groups.
+    /// Items of a group share their prompt. Empty if the item has no group.
     std::string group;
     std::optional<scoring_call> scoring;
 };
 
-/// A submission, decoded.
+/// A decoded submission of a batch job.
 struct batch_job {
     job_id id;
-    /// Host that the items are run with.
+    /// Host of the items' requests.
     std::string host;
     std::string model;
-    /// The oldest version that may generate tokens of its items.
+    /// The oldest weight version that may generate tokens of the items.
     weight_version min_version = 0;
-    /// Groups that the trainer waits for; 0 means all.
+    /// Number of groups that the trainer waits for; 0 means all.
     std::uint32_t target_groups = 0;
     std::vector<batch_item> items;
 };
 
-/// What everyone may know of an accepted job.
+/// Record of an accepted job, shared with all instances; without its items.
 struct job_record {
     job_id id;
-    /// Name of its route, and the host that its items are run with.
+    /// Name of the job's route, and the host of its items' requests.
     std::string route;
     std::string host;
     service_name service;
+    /// Number of items.
     std::uint32_t total = 0;
-    /// Keys that hold the submission.
+    /// Number of store keys that hold the submission.
     std::uint32_t parts = 1;
-    /// Wall clock at the acceptance, in Unix milliseconds.
+    /// Wall-clock time of acceptance, in Unix milliseconds.
     std::int64_t accepted_at = 0;
-    /// Its trainer ended it, or all results are listed.
+    /// The trainer ended the job, or all results are listed.
     bool is_ended = false;
     /// All results are listed.
     bool is_complete = false;
 };
 
-/// One listed result. Its position is its index over the job's results.
+/// One result in the job's list; its position is its index in that list.
 struct item_result {
     item_id item;
-    /// False: it was given up.
+    /// False if the item was given up.
     bool is_completed = false;
     std::string text;
     std::vector<weight_version> versions;
--- a/servers/batch/engine_control.cpp
+++ b/servers/batch/engine_control.cpp
@@ -23,10 +23,10 @@
 }
 
 void engine_control::on_upstreams(const std::vector<upstream_entry>& upstreams,
-                                  const engine_terms& terms, steady_time now,
-                                  engine_commands& out) {
+                                  const engine_settings& settings,
+                                  steady_time now, engine_commands& out) {
     roller_.on_upstreams(upstreams, now);
-    planner_.on_upstreams(upstreams, terms, now);
+    planner_.on_upstreams(upstreams, settings, now);
     advance(now, out);
 }
 
--- a/servers/batch/engine_control.hpp
+++ b/servers/batch/engine_control.hpp
@@ -7,7 +7,7 @@
 
 namespace savorydock {
 
-/// Commands of one step of an engine service's control.
+/// Commands that result from one step of `engine_control`.
 struct engine_commands {
     planner_commands planner;
     roller_commands roller;
@@ -18,11 +18,14 @@
     }
 };
 
-/// All control of one engine service: its planner and its roller, which know
-/// of each other's work on the engines. Not thread safe; deterministic.
+/// Control of one engine service. Connects its item planner with its version
+/// roller: the planner avoids engines that load weights, and the roller sees
+/// which runs and versions the planner needs.
+///
+/// Not thread safe; deterministic.
 class engine_control {
 public:
-    /// `first_ticket`: see item_planner.
+    /// `first_ticket` as for `item_planner`.
     engine_control(item_planner_options planner, run_ticket first_ticket,
                    version_roller_options roller);
     engine_control(const engine_control&) = delete;
@@ -34,27 +37,29 @@
     void on_term(std::optional<fencing_number> term, steady_time now,
                  engine_commands& out);
     void on_upstreams(const std::vector<upstream_entry>& upstreams,
-                      const engine_terms& terms, steady_time now,
+                      const engine_settings& settings, steady_time now,
                       engine_commands& out);
 
-    /// Does what is due. Precondition: called after each input.
+    /// Runs all due work of roller and planner. Must be called after each input
+    /// to `planner()` or `roller()`.
     void advance(steady_time now, engine_commands& out);
 
     [[nodiscard]] std::optional<steady_time> next_wakeup() const;
 
 private:
-    /// The planner's work as the roller asks for it.
-    class planned_work final : public engine_work {
+    /// Gives the roller access to the planner's work on the engines.
+    class planner_work final : public engine_work {
     public:
-        explicit planned_work(const item_planner& planner)
+        explicit planner_work(const item_planner& planner)
             : planner_(planner) {}
 
         std::size_t runs_on(const upstream_id& upstream,
                             const std::string& model) const override {
             return planner_.runs_on(upstream, model);
         }
-        weight_version least_version(const std::string& model) const override {
-            return planner_.least_version(model);
+        weight_version
+        min_allowed_version(const std::string& model) const override {
+            return planner_.min_allowed_version(model);
         }
         bool has_waiting(const std::string& model) const override {
             return planner_.has_waiting(model);
@@ -65,7 +70,7 @@
     };
 
     item_planner planner_;
-    planned_work work_;
+    planner_work work_;
     version_roller roller_;
 };
 
--- a/servers/batch/engine_roster.cpp
+++ b/servers/batch/engine_roster.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-/// Weight of a new sample in the smoothed time of an event.
+/// Weight of a new sample in the smoothed time per event.
 constexpr double event_smoothing = 0.3;
-/// What a whole batch adds to the cost of an engine, to break ties: more than
-/// its real slow-down of some percent, so that few runs meet one failure.
+/// Relative cost that full slots add to an engine. It is larger than the real
+/// slow-down of some percent, so that runs spread over engines and the failure
+/// of one engine affects few of them.
 constexpr double batch_cost = 0.25;
-/// Cost of an engine that failed on the item: behind all others.
+/// Added cost of an engine that failed on the item; puts it after all others.
 constexpr double avoided_cost = 1e6;
-/// Pauses stop doubling after so many failures in a row.
+/// Number of consecutive failures after which pauses stop doubling.
 constexpr std::uint32_t max_doublings = 6;
 
 } // namespace
 
 engine_roster::engine_roster(engine_roster_options options,
-                             loading_test is_loading)
+                             loading_check is_loading)
     : options_(options)
     , is_loading_(std::move(is_loading)) {}
 
@@ -30,9 +31,10 @@
     std::set<upstream_id> listed;
     for (const upstream_entry& entry : upstreams) {
         listed.insert(entry.id);
-        rostered_engine& engine = engines_[entry.id];
-        const bool is_restarted = engine.entry.started_at != entry.started_at;
-        engine.entry = entry;
+        roster_entry& engine = engines_[entry.id];
+        const bool is_restarted =
+            engine.listed_upstream.started_at != entry.started_at;
+        engine.listed_upstream = entry;
         if (is_restarted) {
             engine.failures_in_row = 0;
             engine.not_before = now;
@@ -40,7 +42,7 @@
     }
     for (auto& [id, engine] : engines_) {
         if (!listed.contains(id)) {
-            engine.entry.is_draining = true;
+            engine.listed_upstream.is_draining = true;
         }
     }
     std::erase_if(engines_, [&](const auto& row) {
@@ -48,9 +50,9 @@
     });
 }
 
-bool engine_roster::has_room(const rostered_engine& engine,
+bool engine_roster::has_room(const roster_entry& engine,
                              std::uint64_t cache_tokens) const {
-    if (engine.running >= engine.entry.slots) {
+    if (engine.running >= engine.listed_upstream.slots) {
         return false;
     }
     return engine.running == 0 || cache_tokens_ == 0 ||
@@ -58,32 +60,35 @@
                options_.cache_share * static_cast<double>(cache_tokens_);
 }
 
-double engine_roster::cost_of(const rostered_engine& engine) const {
+double engine_roster::cost_of(const roster_entry& engine) const {
     const double speed = engine.event_milliseconds > 0
                              ? engine.event_milliseconds
                              : typical_milliseconds_;
     const double share = static_cast<double>(engine.running) /
-                         static_cast<double>(engine.entry.slots);
+                         static_cast<double>(engine.listed_upstream.slots);
     return (speed > 0 ? speed : 1) * (1 + batch_cost * share);
 }
 
-const rostered_engine* engine_roster::choose(const engine_need& need,
-                                             steady_time now) const {
-    const rostered_engine* best = nullptr;
+const roster_entry*
+engine_roster::choose(const engine_requirements& requirements,
+                      steady_time now) const {
+    const roster_entry* best = nullptr;
     double best_cost = std::numeric_limits<double>::max();
     for (const auto& [id, engine] : engines_) {
-        if (engine.entry.is_draining || engine.not_before > now ||
-            !has_room(engine, need.cache_tokens) ||
-            is_loading_(id, need.model, now)) {
+        if (engine.listed_upstream.is_draining || engine.not_before > now ||
+            !has_room(engine, requirements.cache_tokens) ||
+            is_loading_(id, requirements.model, now)) {
             continue;
         }
-        const auto version = engine.entry.versions.find(need.model);
-        if (version != engine.entry.versions.end() &&
-            version->second < need.min_version) {
+        const auto version =
+            engine.listed_upstream.versions.find(requirements.model);
+        if (version != engine.listed_upstream.versions.end() &&
+            version->second < requirements.min_version) {
             continue;
         }
         const double cost =
-            cost_of(engine) + (need.avoid.contains(id) ? avoided_cost : 0);
+            cost_of(engine) +
+            (requirements.avoid.contains(id) ? avoided_cost : 0);
         if (cost < best_cost) {
             best = &engine;
             best_cost = cost;
@@ -92,7 +97,7 @@
     return best;
 }
 
-const rostered_engine* engine_roster::find(const upstream_id& id) const {
+const roster_entry* engine_roster::find(const upstream_id& id) const {
     const auto found = engines_.find(id);
     return found == engines_.end() ? nullptr : &found->second;
 }
@@ -114,11 +119,12 @@
     if (found == engines_.end()) {
         return;
     }
-    rostered_engine& engine = found->second;
-    std::size_t& of_model = engine.running_by_model[model];
-    // A run that was taken over may have begun before its engine was listed.
+    roster_entry& engine = found->second;
+    std::size_t& model_runs = engine.running_by_model[model];
+    // The counters may be 0 if the run was adopted from another planner before
+    // its engine was listed here.
     engine.running -= engine.running > 0 ? 1 : 0;
-    of_model -= of_model > 0 ? 1 : 0;
+    model_runs -= model_runs > 0 ? 1 : 0;
     engine.cache_tokens -= std::min(engine.cache_tokens, cache_tokens);
 }
 
@@ -130,13 +136,13 @@
     }
 }
 
-void engine_roster::measure(const upstream_id& id, std::uint64_t events,
-                            steady_time::duration span, steady_time now) {
+void engine_roster::record_speed(const upstream_id& id, std::uint64_t events,
+                                 steady_time::duration span, steady_time now) {
     const auto found = engines_.find(id);
     if (found == engines_.end() || events == 0) {
         return;
     }
-    rostered_engine& engine = found->second;
+    roster_entry& engine = found->second;
     const double sample =
         std::chrono::duration<double, std::milli>(span).count() /
         static_cast<double>(events);
@@ -147,12 +153,12 @@
                              : smoothed + event_smoothing * (sample - smoothed);
 }
 
-void engine_roster::set_aside(const upstream_id& id, steady_time now) {
+void engine_roster::pause_engine(const upstream_id& id, steady_time now) {
     const auto found = engines_.find(id);
     if (found == engines_.end()) {
         return;
     }
-    rostered_engine& engine = found->second;
+    roster_entry& engine = found->second;
     const auto factor = 1U << std::min(engine.failures_in_row, max_doublings);
     ++engine.failures_in_row;
     engine.not_before =
@@ -166,7 +172,7 @@
     }
 }
 
-void engine_roster::review(steady_time now) {
+void engine_roster::update_typical_speed(steady_time now) {
     std::vector<double> times;
     for (const auto& [id, engine] : engines_) {
         if (engine.event_milliseconds > 0) {
@@ -181,11 +187,10 @@
     std::nth_element(times.begin(), middle, times.end());
     typical_milliseconds_ = *middle;
     for (auto& [id, engine] : engines_) {
-        const bool is_in_trouble =
-            engine.event_milliseconds >
-            options_.trouble_ratio * typical_milliseconds_;
-        if (is_in_trouble && engine.running == 0 &&
-            now >= engine.measured_at + options_.trouble_memory) {
+        const bool is_slow = engine.event_milliseconds >
+                             options_.slow_ratio * typical_milliseconds_;
+        if (is_slow && engine.running == 0 &&
+            now >= engine.measured_at + options_.slow_reset_time) {
             engine.event_milliseconds = 0;
             engine.measured_events = 0;
         }
@@ -194,7 +199,7 @@
 
 std::size_t engine_roster::runs_on(const upstream_id& id,
                                    const std::string& model) const {
-    const rostered_engine* const engine = find(id);
+    const roster_entry* const engine = find(id);
     if (engine == nullptr) {
         return 0;
     }
--- a/servers/batch/engine_roster.hpp
+++ b/servers/batch/engine_roster.hpp
@@ -14,113 +14,123 @@
 namespace savorydock {
 
 struct engine_roster_options {
-    /// Share of an engine's cache that planned items may fill; the rest is
-    /// for texts that come out longer than their callers expected.
+    /// Share of an engine's cache that planned items may fill. The rest is
+    /// reserved for texts that become longer than their callers expected.
     double cache_share = 0.9;
-    /// How long an engine that refused or broke off gets no new item; doubled
-    /// with each further time in a row, up to the second figure.
+    /// How long an engine gets no new items after it refused a run or broke the
+    /// stream. Doubles with each consecutive failure, up to `longest_pause`.
     std::chrono::milliseconds first_pause{250};
     std::chrono::milliseconds longest_pause{4'000};
-    /// Events on an engine before its speed is believed.
-    std::uint64_t measured_least = 24;
-    /// An engine so many times slower than the typical one is in trouble, not
-    /// of a slower build (those of today's sites are 1.3 times slower).
-    double trouble_ratio = 1.6;
-    /// An idle engine in trouble is taken for a typical one again after this
-    /// time: nothing would run there that could show its recovery. Slow spells
-    /// last 5 to 8 s on today's sites.
-    std::chrono::milliseconds trouble_memory{4'000};
+    /// Minimum number of events before the measured speed of an engine is used
+    /// to move runs.
+    std::uint64_t min_measured_events = 24;
+    /// An engine that is slower than the typical one by this factor is treated
+    /// as temporarily slow. Must exceed the difference between engine types,
+    /// which is a factor of 1.3.
+    double slow_ratio = 1.6;
+    /// The measured speed of a slow, idle engine is discarded after this time.
+    /// Otherwise no run would start there, and its recovery would go unnoticed.
+    /// Slow phases last 5 to 8 s.
+    std::chrono::milliseconds slow_reset_time{4'000};
 };
 
-/// What an item needs of an engine.
-struct engine_need {
+/// What an item requires of an engine.
+struct engine_requirements {
     const std::string& model;
     weight_version min_version = 0;
-    /// Cache tokens that it will fill.
+    /// Cache tokens that the item is expected to fill.
     std::uint64_t cache_tokens = 0;
-    /// Engines that failed on it; taken only if there is no other.
+    /// Engines that failed on the item; chosen only if no other has room.
     const std::set<upstream_id>& avoid;
 };
 
-/// One engine with the work that the planner has on it.
-struct rostered_engine {
-    upstream_entry entry;
+/// An engine with its load of planned items and its measured speed.
+struct roster_entry {
+    /// The upstream as last listed.
+    upstream_entry listed_upstream;
     std::size_t running = 0;
     std::map<std::string, std::size_t> running_by_model;
+    /// Cache tokens that its runs are expected to fill.
     std::uint64_t cache_tokens = 0;
     std::uint64_t measured_events = 0;
-    /// Smoothed time of one event; zero: not measured.
+    /// Smoothed time per event; 0 if not measured.
     double event_milliseconds = 0;
     steady_time measured_at{};
+    /// Gets no new items before this time.
     steady_time not_before{};
     std::uint32_t failures_in_row = 0;
 };
 
-/// The engines of one service: what they hold and run, how fast they are, and
-/// which of them takes the next item.
+/// Tracks the load and speed of the engines of one service and chooses the
+/// engine for the next item.
 ///
-/// Load pattern: engines of unequal speed that slow down for seconds, break,
-/// load weights and fill their caches. The fastest with a free slot is chosen,
-/// and the share of its taken slots breaks ties, since a batch of six makes
-/// each of its streams some percent slower.
+/// Load pattern: engines differ in speed, slow down for seconds, fail, load
+/// weights and run out of cache. The fastest engine with a free slot is chosen.
+/// The share of occupied slots breaks ties, because six concurrent runs slow
+/// each stream down by some percent.
 ///
 /// Not thread safe; deterministic.
 class engine_roster {
 public:
     /// Whether an upstream refuses new runs of a model.
-    using loading_test = std::function<bool(
+    using loading_check = std::function<bool(
         const upstream_id&, const std::string& model, steady_time now)>;
 
-    engine_roster(engine_roster_options options, loading_test is_loading);
+    engine_roster(engine_roster_options options, loading_check is_loading);
 
-    /// The service's upstreams as listed now; those that vanished take no new
-    /// work. `cache_tokens` is the cache of one engine, 0 if not known.
+    /// Sets the current upstreams of the service. Engines that are no longer
+    /// listed get no new items. `cache_tokens` is the cache capacity of one
+    /// engine, or 0 if not known.
     void set_upstreams(const std::vector<upstream_entry>& upstreams,
                        std::uint64_t cache_tokens, steady_time now);
 
-    /// The engine that takes an item now, or null if none has room.
-    [[nodiscard]] const rostered_engine* choose(const engine_need& need,
-                                                steady_time now) const;
-    /// Returns the engine, or null.
-    [[nodiscard]] const rostered_engine* find(const upstream_id& id) const;
+    /// Returns the best engine for an item, or null if none is available.
+    [[nodiscard]] const roster_entry*
+    choose(const engine_requirements& requirements, steady_time now) const;
+    /// Returns the engine, or null if unknown.
+    [[nodiscard]] const roster_entry* find(const upstream_id& id) const;
     [[nodiscard]] bool is_loading(const upstream_id& id,
                                   const std::string& model,
                                   steady_time now) const {
         return is_loading_(id, model, now);
     }
 
-    /// A run of a model starts or ends; `cache_tokens` are those it was
-    /// planned with.
+    /// Records that a run of a model starts (`occupy`) or ends (`release`).
+    /// `cache_tokens` must be the same in both calls.
     void occupy(const upstream_id& id, const std::string& model,
                 std::uint64_t cache_tokens);
     void release(const upstream_id& id, const std::string& model,
                  std::uint64_t cache_tokens);
-    /// Forgets all runs.
+    /// Resets the load of all engines to zero.
     void clear_runs();
 
-    /// A run made events within a span that had no wait before them.
-    void measure(const upstream_id& id, std::uint64_t events,
-                 steady_time::duration span, steady_time now);
-    void set_aside(const upstream_id& id, steady_time now);
+    /// Records the time that an engine took for events of a run. `span` must
+    /// not include the wait before the first event.
+    void record_speed(const upstream_id& id, std::uint64_t events,
+                      steady_time::duration span, steady_time now);
+    /// Gives the engine no new items for a time; call after a failure.
+    void pause_engine(const upstream_id& id, steady_time now);
     void on_success(const upstream_id& id);
-    /// Compares the engines' speeds anew.
-    void review(steady_time now);
+    /// Computes the typical speed again and discards outdated speeds of slow
+    /// engines.
+    void update_typical_speed(steady_time now);
 
-    [[nodiscard]] bool is_measured(const rostered_engine& engine) const {
-        return engine.measured_events >= options_.measured_least;
+    [[nodiscard]] bool is_measured(const roster_entry& engine) const {
+        return engine.measured_events >= options_.min_measured_events;
     }
     [[nodiscard]] std::size_t runs_on(const upstream_id& id,
                                       const std::string& model) const;
 
 private:
-    [[nodiscard]] bool has_room(const rostered_engine& engine,
+    [[nodiscard]] bool has_room(const roster_entry& engine,
                                 std::uint64_t cache_tokens) const;
-    [[nodiscard]] double cost_of(const rostered_engine& engine) const;
+    [[nodiscard]] double cost_of(const roster_entry& engine) const;
 
     engine_roster_options options_;
-    loading_test is_loading_;
-    std::map<upstream_id, rostered_engine> engines_;
+    loading_check is_loading_;
+    std::map<upstream_id, roster_entry> engines_;
     std::uint64_t cache_tokens_ = 0;
+    /// Median time per event of the measured engines.
     double typical_milliseconds_ = 0;
 };
 
--- a/servers/batch/item_planner.cpp
+++ b/servers/batch/item_planner.cpp
@@ -7,7 +7,7 @@
 namespace savorydock {
 
 item_planner::item_planner(item_planner_options options,
-                           run_ticket first_ticket, loading_test is_loading)
+                           run_ticket first_ticket, loading_check is_loading)
     : options_(options)
     , roster_(options.engines, std::move(is_loading))
     , next_ticket_(first_ticket) {}
@@ -32,13 +32,13 @@
     scorings_.clear();
     to_score_.clear();
     jobs_.clear();
-    held_.clear();
+    held_runs_.clear();
     roster_.clear_runs();
 }
 
 void item_planner::on_job(const job_record& record,
                           std::shared_ptr<const batch_job> job,
-                          const job_terms& terms,
+                          const job_settings& settings,
                           const std::vector<item_id>& listed,
                           const std::map<std::size_t, item_progress>& saved,
                           steady_time accepted_at, steady_time now,
@@ -47,24 +47,24 @@
     job_state& state = position->second;
     if (is_new) {
         state.record = record;
-        state.source = std::move(job);
-        state.terms = terms;
+        state.submission = std::move(job);
+        state.settings = settings;
         state.accepted_at = accepted_at;
-        take_items(state);
+        add_items(state);
         for (const auto& [item, progress] : saved) {
-            if (item < state.items.size() && fits(progress, state)) {
+            if (item < state.items.size() && is_reusable(progress, state)) {
                 state.items[item].progress = progress;
             }
         }
     }
     if (is_new) {
-        resume_carried(state);
+        reuse_retained_texts(state);
     }
-    // What another planner listed meanwhile stands; the rest of what was
-    // ready here is listed behind it.
-    const std::set<item_id> done(listed.begin(), listed.end());
+    // Results that another planner listed in the meantime are kept. The other
+    // ready results of this planner are appended after them.
+    const std::set<item_id> listed_items(listed.begin(), listed.end());
     for (std::size_t item = 0; item < state.items.size(); ++item) {
-        if (!done.contains(state.source->items[item].id)) {
+        if (!listed_items.contains(state.submission->items[item].id)) {
             continue;
         }
         state.waiting.erase({state.items[item].rank, item});
@@ -76,7 +76,7 @@
                 }
             }
         }
-        close_item(state, item);
+        count_finished_item(state, item);
         state.items[item].phase = item_phase::listed;
     }
     for (const std::size_t item : state.in_commit) {
@@ -88,45 +88,47 @@
     state.is_committing = false;
     state.next_position = listed.size();
     state.is_confirmed = true;
-    adopt_held(record.id, state, now, out);
+    adopt_held_runs(record.id, state, now, out);
 }
 
 void item_planner::begin_adoption(steady_time now) {
-    adoption_until_ = now + options_.adoption_time;
+    adoption_deadline_ = now + options_.adoption_timeout;
 }
 
 void item_planner::end_adoption() {
-    adoption_until_ = {};
+    adoption_deadline_ = {};
 }
 
-bool item_planner::is_placing(steady_time now) const {
-    return has_term_ && is_starting_ && is_informed_ && now >= adoption_until_;
+bool item_planner::may_place_items(steady_time now) const {
+    return has_term_ && is_starting_ && is_fleet_data_current_ &&
+           now >= adoption_deadline_;
 }
 
-void item_planner::on_held(held_run held, steady_time now,
-                           planner_commands& out) {
+void item_planner::on_held_run(held_run held, steady_time now,
+                               planner_commands& out) {
     const job_id id = held.job;
-    held_[id].push_back(std::move(held));
+    held_runs_[id].push_back(std::move(held));
     const auto owner = jobs_.find(id);
     if (owner != jobs_.end() && owner->second.is_confirmed) {
-        adopt_held(id, owner->second, now, out);
+        adopt_held_runs(id, owner->second, now, out);
     }
 }
 
-void item_planner::adopt_held(const job_id& id, job_state& job, steady_time now,
-                              planner_commands& out) {
-    const auto found = held_.find(id);
-    if (found == held_.end()) {
+void item_planner::adopt_held_runs(const job_id& id, job_state& job,
+                                   steady_time now, planner_commands& out) {
+    const auto found = held_runs_.find(id);
+    if (found == held_runs_.end()) {
         return;
     }
     std::vector<held_run> all = std::move(found->second);
-    held_.erase(found);
-    // Texts before scores: a score counts only for a whole text.
+    held_runs_.erase(found);
+    // Texts before scores, because a score is accepted only for an item whose
+    // text is complete.
     std::stable_partition(all.begin(), all.end(),
                           [](const held_run& one) { return !one.is_scoring; });
     std::map<std::string, std::size_t> items;
     for (std::size_t at = 0; at < job.items.size(); ++at) {
-        const batch_item& source = job.source->items[at];
+        const batch_item& source = job.submission->items[at];
         items[source.id.text()] = at;
         if (source.scoring) {
             items[source.scoring->id] = at;
@@ -147,7 +149,7 @@
         if (held.has_ended && item.phase == item_phase::to_score) {
             std::erase(to_score_, std::pair(job.record.id, index));
             item.score = std::move(held.score);
-            item.kept_by.push_back(held.ticket);
+            item.unreleased_tickets.push_back(held.ticket);
             make_ready(job, index);
         }
         return;
@@ -155,7 +157,7 @@
     item_progress progress{.text = std::move(held.text),
                            .events = held.events,
                            .versions = std::move(held.versions)};
-    if (item.phase != item_phase::waiting || !fits(progress, job)) {
+    if (item.phase != item_phase::waiting || !is_reusable(progress, job)) {
         if (!held.has_ended) {
             out.emplace_back(stop_run{.ticket = held.ticket});
         }
@@ -163,26 +165,27 @@
     }
     job.waiting.erase({item.rank, index});
     if (held.has_ended) {
-        item.kept_by.push_back(held.ticket);
+        item.unreleased_tickets.push_back(held.ticket);
         finish_text(job, index, std::move(progress));
         return;
     }
-    const std::uint64_t need = cache_need(item);
+    const std::uint64_t needed_cache_tokens = expected_cache_tokens(item);
     item.phase = item_phase::running;
     item.progress = {};
-    roster_.occupy(held.upstream, job.source->model, need);
+    roster_.occupy(held.upstream, job.submission->model, needed_cache_tokens);
     const std::uint64_t events = progress.events;
     runs_[held.ticket] = {.job = job.record.id,
                           .item = index,
                           .upstream = held.upstream,
-                          .model = job.source->model,
-                          .cache_tokens = need,
+                          .model = job.submission->model,
+                          .cache_tokens = needed_cache_tokens,
                           .progress = std::move(progress),
-                          .first_events = events,
+                          .initial_events = events,
                           .last_event_at = now};
 }
 
-bool item_planner::append(item_progress& progress, const run_delta& delta) {
+bool item_planner::append_delta(item_progress& progress,
+                                const run_delta& delta) {
     if (delta.events <= progress.events) {
         return true;
     }
@@ -200,60 +203,62 @@
     return true;
 }
 
-bool item_planner::fits(const item_progress& progress, const job_state& job) {
+bool item_planner::is_reusable(const item_progress& progress,
+                               const job_state& job) {
     const auto& versions = progress.versions;
     const bool is_fresh =
         std::all_of(versions.begin(), versions.end(), [&](auto version) {
-            return version >= job.source->min_version;
+            return version >= job.submission->min_version;
         });
-    return is_fresh && !job.terms.is_single_version;
+    return is_fresh && !job.settings.is_single_version;
 }
 
-void item_planner::resume_carried(job_state& job) {
+void item_planner::reuse_retained_texts(job_state& job) {
     for (std::size_t at = 0; at < job.items.size(); ++at) {
-        const auto found = carried_.find(job.source->items[at].id);
-        if (found == carried_.end()) {
+        const auto found = retained_texts_.find(job.submission->items[at].id);
+        if (found == retained_texts_.end()) {
             continue;
         }
-        carried_text text = std::move(found->second);
-        carried_.erase(found);
+        retained_text text = std::move(found->second);
+        retained_texts_.erase(found);
         item_state& item = job.items[at];
-        if (!fits(text.progress, job) ||
+        if (!is_reusable(text.progress, job) ||
             text.progress.events <= item.progress.events) {
             continue;
         }
         item.progress = std::move(text.progress);
-        if (text.is_whole) {
+        if (text.is_text_complete) {
             job.waiting.erase({item.rank, at});
             finish_text(job, at, std::move(item.progress));
         }
     }
 }
 
-void item_planner::carry(const job_state& job) {
+void item_planner::retain_texts(const job_state& job) {
     std::set<std::string> open_groups;
     for (std::size_t at = 0; at < job.items.size(); ++at) {
         if (job.items[at].phase != item_phase::listed) {
-            open_groups.insert(job.source->items[at].group);
+            open_groups.insert(job.submission->items[at].group);
         }
     }
     for (std::size_t at = 0; at < job.items.size(); ++at) {
         const item_state& item = job.items[at];
-        const batch_item& source = job.source->items[at];
-        if (item.progress.events == 0 || item.is_lost ||
+        const batch_item& source = job.submission->items[at];
+        if (item.progress.events == 0 || item.is_given_up ||
             !open_groups.contains(source.group)) {
             continue;
         }
-        if (carried_.size() >= options_.max_carried) {
-            carried_.erase(carried_.begin());
+        if (retained_texts_.size() >= options_.max_retained_texts) {
+            retained_texts_.erase(retained_texts_.begin());
         }
-        carried_[source.id] = {.progress = item.progress,
-                               .is_whole = item.is_whole};
+        retained_texts_[source.id] = {.progress = item.progress,
+                                      .is_text_complete =
+                                          item.is_text_complete};
     }
 }
 
-void item_planner::take_items(job_state& job) {
-    const std::vector<ranked_item> ranked = rank_items(*job.source);
+void item_planner::add_items(job_state& job) {
+    const std::vector<ranked_item> ranked = rank_items(*job.submission);
     job.items.resize(ranked.size());
     for (std::size_t at = 0; at < ranked.size(); ++at) {
         item_state& item = job.items[at];
@@ -261,19 +266,19 @@
         item.expected_tokens = ranked[at].expected_tokens;
         item.rank = ranked[at].rank;
         job.waiting.insert({item.rank, at});
-        ++job.open_items[job.source->items[at].group];
+        ++job.open_items[job.submission->items[at].group];
     }
 }
 
-void item_planner::close_item(job_state& job, std::size_t item) {
+void item_planner::count_finished_item(job_state& job, std::size_t item) {
     const item_phase phase = job.items[item].phase;
     if (phase == item_phase::ready || phase == item_phase::listed) {
         return;
     }
-    const std::string& group = job.source->items[item].group;
-    // Items without a group are whole by themselves.
+    const std::string& group = job.submission->items[item].group;
+    // An item without a group counts as a complete group of its own.
     if (--job.open_items[group] == 0 || group.empty()) {
-        job.has_whole_group = true;
+        job.has_complete_group = true;
     }
 }
 
@@ -302,23 +307,25 @@
     });
     std::erase_if(to_score_,
                   [&](const auto& entry) { return entry.first == job; });
-    carry(found->second);
+    retain_texts(found->second);
     jobs_.erase(found);
 }
 
 void item_planner::on_upstreams(const std::vector<upstream_entry>& upstreams,
-                                const engine_terms& terms, steady_time now) {
-    engine_terms_ = terms;
-    roster_.set_upstreams(upstreams, terms.cache_tokens, now);
+                                const engine_settings& settings,
+                                steady_time now) {
+    engine_settings_ = settings;
+    roster_.set_upstreams(upstreams, settings.cache_tokens, now);
 }
 
-void item_planner::measure(const run_state& run, std::uint64_t events,
-                           steady_time now) {
-    // The first events include the wait for a slot and the prompt.
+void item_planner::record_speed(const run_state& run, std::uint64_t events,
+                                steady_time now) {
+    // The time of the first events is not measured: it includes the wait for a
+    // slot and the processing of the prompt.
     if (events > run.progress.events &&
-        run.progress.events > run.first_events) {
-        roster_.measure(run.upstream, events - run.progress.events,
-                        now - run.last_event_at, now);
+        run.progress.events > run.initial_events) {
+        roster_.record_speed(run.upstream, events - run.progress.events,
+                             now - run.last_event_at, now);
     }
 }
 
@@ -329,17 +336,17 @@
         return;
     }
     run_state& run = found->second;
-    measure(run, delta.events, now);
+    record_speed(run, delta.events, now);
     run.last_event_at = now;
-    if (!append(run.progress, delta) && !run.is_stopping) {
-        // A report was lost between instances: the run starts again behind
-        // what is here.
+    if (!append_delta(run.progress, delta) && !run.is_stopping) {
+        // A report between instances was lost. Stops the run so that another
+        // one resumes after the text that is known here.
         run.is_stopping = true;
         out.emplace_back(stop_run{.ticket = delta.ticket});
     }
 }
 
-void item_planner::put_back(job_state& job, std::size_t item) {
+void item_planner::requeue(job_state& job, std::size_t item) {
     job.items[item].phase = item_phase::waiting;
     job.waiting.insert({job.items[item].rank, item});
 }
@@ -347,8 +354,8 @@
 void item_planner::finish_text(job_state& job, std::size_t item,
                                item_progress progress) {
     job.items[item].progress = std::move(progress);
-    job.items[item].is_whole = true;
-    if (!job.source->items[item].scoring) {
+    job.items[item].is_text_complete = true;
+    if (!job.submission->items[item].scoring) {
         make_ready(job, item);
         return;
     }
@@ -357,7 +364,7 @@
 }
 
 void item_planner::make_ready(job_state& job, std::size_t item) {
-    close_item(job, item);
+    count_finished_item(job, item);
     job.items[item].phase = item_phase::ready;
     job.ready.push_back(item);
 }
@@ -369,8 +376,8 @@
     }
     run_state run = std::move(found->second);
     runs_.erase(found);
-    const bool is_joined = append(run.progress, report.rest);
-    if (!is_joined && report.end == run_end::complete) {
+    const bool is_contiguous = append_delta(run.progress, report.last_delta);
+    if (!is_contiguous && report.end == run_end::complete) {
         report.end = run_end::interrupted;
     }
     roster_.release(run.upstream, run.model, run.cache_tokens);
@@ -380,7 +387,8 @@
     }
     job_state& job = owner->second;
     item_state& item = job.items[run.item];
-    if (report.end == run_end::wrong_version && job.terms.is_single_version) {
+    if (report.end == run_end::wrong_version &&
+        job.settings.is_single_version) {
         run.progress = {};
     }
     if (item.phase != item_phase::running) {
@@ -388,12 +396,12 @@
     }
     if (report.end == run_end::complete) {
         roster_.on_success(run.upstream);
-        item.kept_by.push_back(report.ticket);
+        item.unreleased_tickets.push_back(report.ticket);
         finish_text(job, run.item, std::move(run.progress));
         return;
     }
-    if (report.end == run_end::impossible) {
-        item.is_lost = true;
+    if (report.end == run_end::invalid_item) {
+        item.is_given_up = true;
         make_ready(job, run.item);
         return;
     }
@@ -401,15 +409,15 @@
     if (report.end == run_end::failed) {
         ++item.failures;
         item.avoid.insert(run.upstream);
-        if (item.failures >= job.terms.max_attempts) {
-            item.is_lost = true;
+        if (item.failures >= job.settings.max_attempts) {
+            item.is_given_up = true;
             make_ready(job, run.item);
             return;
         }
     } else if (report.end != run_end::stopped) {
-        roster_.set_aside(run.upstream, now);
+        roster_.pause_engine(run.upstream, now);
     }
-    put_back(job, run.item);
+    requeue(job, run.item);
 }
 
 void item_planner::on_run_lost(run_ticket ticket, steady_time now) {
@@ -429,9 +437,10 @@
     if (run == runs_.end()) {
         return;
     }
-    on_run_ended(
-        {.ticket = ticket, .end = run_end::stopped, .rest = {.ticket = ticket}},
-        now);
+    on_run_ended({.ticket = ticket,
+                  .end = run_end::stopped,
+                  .last_delta = {.ticket = ticket}},
+                 now);
 }
 
 void item_planner::on_scored(score_report report) {
@@ -447,9 +456,9 @@
     }
     item_state& item = owner->second.items[scoring.item];
     if (item.phase == item_phase::scoring) {
-        item.is_lost = !report.score;
+        item.is_given_up = !report.score;
         item.score = report.score.value_or("");
-        item.kept_by.push_back(report.ticket);
+        item.unreleased_tickets.push_back(report.ticket);
         make_ready(owner->second, scoring.item);
     }
 }
@@ -470,8 +479,8 @@
         return;
     }
     if (end == commit_end::not_listed) {
-        job.commit_not_before = now + options_.commit_retry;
-        job.has_whole_group = true;
+        job.commit_not_before = now + options_.commit_retry_delay;
+        job.has_complete_group = true;
         job.ready.insert(job.ready.begin(), job.in_commit.begin(),
                          job.in_commit.end());
         job.in_commit.clear();
@@ -479,10 +488,10 @@
     }
     for (const std::size_t item : job.in_commit) {
         job.items[item].phase = item_phase::listed;
-        for (const run_ticket ticket : job.items[item].kept_by) {
+        for (const run_ticket ticket : job.items[item].unreleased_tickets) {
             out.emplace_back(release_run{.ticket = ticket});
         }
-        job.items[item].kept_by.clear();
+        job.items[item].unreleased_tickets.clear();
     }
     job.next_position += job.in_commit.size();
     job.in_commit.clear();
@@ -499,60 +508,64 @@
     std::stable_sort(order.begin(), order.end(),
                      [](const job_state* left, const job_state* right) {
                          const auto key = [](const job_state* job) {
-                             return std::pair(job->terms.priority,
+                             return std::pair(job->settings.priority,
                                               job->accepted_at +
-                                                  job->terms.target);
+                                                  job->settings.target);
                          };
                          return key(left) < key(right);
                      });
     return order;
 }
 
-std::uint64_t item_planner::cache_need(const item_state& item) const {
+std::uint64_t
+item_planner::expected_cache_tokens(const item_state& item) const {
     return item.prompt_tokens + item.expected_tokens;
 }
 
-const rostered_engine* item_planner::choose_engine(const job_state& job,
-                                                   const item_state& item,
-                                                   steady_time now) const {
-    const engine_need need{.model = job.source->model,
-                           .min_version = job.source->min_version,
-                           .cache_tokens = cache_need(item),
-                           .avoid = item.avoid};
-    return roster_.choose(need, now);
+const roster_entry* item_planner::choose_engine(const job_state& job,
+                                                const item_state& item,
+                                                steady_time now) const {
+    const engine_requirements requirements{
+        .model = job.submission->model,
+        .min_version = job.submission->min_version,
+        .cache_tokens = expected_cache_tokens(item),
+        .avoid = item.avoid};
+    return roster_.choose(requirements, now);
 }
 
 void item_planner::start(job_state& job, std::size_t index,
-                         const rostered_engine& engine, steady_time now,
+                         const roster_entry& engine, steady_time now,
                          planner_commands& out) {
     item_state& item = job.items[index];
     const run_ticket ticket = next_ticket_++;
-    const std::uint64_t need = cache_need(item);
+    const std::uint64_t needed_cache_tokens = expected_cache_tokens(item);
     job.waiting.erase({item.rank, index});
     item.phase = item_phase::running;
-    roster_.occupy(engine.entry.id, job.source->model, need);
+    roster_.occupy(engine.listed_upstream.id, job.submission->model,
+                   needed_cache_tokens);
     runs_[ticket] = {.job = job.record.id,
                      .item = index,
-                     .upstream = engine.entry.id,
-                     .model = job.source->model,
-                     .cache_tokens = need,
+                     .upstream = engine.listed_upstream.id,
+                     .model = job.submission->model,
+                     .cache_tokens = needed_cache_tokens,
                      .progress = std::move(item.progress),
                      .last_event_at = now};
     run_state& run = runs_[ticket];
-    run.first_events = run.progress.events;
+    run.initial_events = run.progress.events;
     item.progress = {};
-    out.emplace_back(start_run{.ticket = ticket,
-                               .job = job.source,
-                               .item = index,
-                               .upstream = engine.entry.id,
-                               .address = engine.entry.address,
-                               .min_version = job.source->min_version,
-                               .is_single_version = job.terms.is_single_version,
-                               .progress = run.progress});
+    out.emplace_back(
+        start_run{.ticket = ticket,
+                  .job = job.submission,
+                  .item = index,
+                  .upstream = engine.listed_upstream.id,
+                  .address = engine.listed_upstream.address,
+                  .min_version = job.submission->min_version,
+                  .is_single_version = job.settings.is_single_version,
+                  .progress = run.progress});
 }
 
 void item_planner::place_items(steady_time now, planner_commands& out) {
-    if (!is_placing(now)) {
+    if (!may_place_items(now)) {
         return;
     }
     for (job_state* const job : jobs_by_urgency()) {
@@ -561,7 +574,7 @@
         }
         while (!job->waiting.empty()) {
             const std::size_t index = job->waiting.begin()->second;
-            const rostered_engine* const engine =
+            const roster_entry* const engine =
                 choose_engine(*job, job->items[index], now);
             if (engine == nullptr) {
                 break;
@@ -574,7 +587,7 @@
 void item_planner::stop_stalled(steady_time now, planner_commands& out) {
     for (auto& [ticket, run] : runs_) {
         if (!jobs_.contains(run.job) || run.is_stopping ||
-            now < run.last_event_at + options_.stall_time) {
+            now < run.last_event_at + options_.stall_timeout) {
             continue;
         }
         if (roster_.is_loading(run.upstream, run.model, now)) {
@@ -582,7 +595,7 @@
             continue;
         }
         run.is_stopping = true;
-        roster_.set_aside(run.upstream, now);
+        roster_.pause_engine(run.upstream, now);
         out.emplace_back(stop_run{.ticket = ticket});
     }
 }
@@ -590,7 +603,7 @@
 void item_planner::on_loading(const upstream_id& upstream,
                               const std::string& model, steady_time now,
                               planner_commands& out) {
-    if (!is_placing(now)) {
+    if (!may_place_items(now)) {
         return;
     }
     for (auto& [ticket, run] : runs_) {
@@ -606,37 +619,39 @@
     }
 }
 
-bool item_planner::is_move_worth(const run_state& run, const item_state& item,
-                                 const rostered_engine& here,
-                                 const rostered_engine& target) const {
-    if (here.event_milliseconds <
+bool item_planner::is_move_worthwhile(const run_state& run,
+                                      const item_state& item,
+                                      const roster_entry& current,
+                                      const roster_entry& target) const {
+    if (current.event_milliseconds <
         options_.move_ratio * target.event_milliseconds) {
         return false;
     }
-    // An item that outgrew its caller's estimate has a long tail: half of what
-    // came is taken to come again.
-    const auto done = static_cast<double>(run.progress.events);
-    const double events_left =
-        std::max(static_cast<double>(item.expected_tokens) /
-                         static_cast<double>(engine_terms_.tokens_per_event) -
-                     done,
-                 done / 2);
+    // Lengths have a long tail: an item that has exceeded its caller's estimate
+    // is assumed to need half as many events again.
+    const auto events_done = static_cast<double>(run.progress.events);
+    const double events_left = std::max(
+        static_cast<double>(item.expected_tokens) /
+                static_cast<double>(engine_settings_.tokens_per_event) -
+            events_done,
+        events_done / 2);
     const double saved =
-        events_left * (here.event_milliseconds - target.event_milliseconds);
-    return saved >= static_cast<double>(options_.move_least.count());
+        events_left * (current.event_milliseconds - target.event_milliseconds);
+    return saved >= static_cast<double>(options_.min_time_saved.count());
 }
 
 void item_planner::move_stragglers(steady_time now, planner_commands& out) {
-    // The fastest engine with room, by model; looked for once a move.
-    std::map<std::string, const rostered_engine*> targets;
+    // The best engine with room for each model, chosen again after each move.
+    std::map<std::string, const roster_entry*> targets;
     std::size_t moves = 0;
     for (auto& [ticket, run] : runs_) {
         const auto owner = jobs_.find(run.job);
-        const rostered_engine* const here = roster_.find(run.upstream);
-        if (owner == jobs_.end() || here == nullptr || run.is_stopping ||
+        const roster_entry* const current = roster_.find(run.upstream);
+        if (owner == jobs_.end() || current == nullptr || run.is_stopping ||
             !owner->second.waiting.empty() ||
-            run.progress.events < run.first_events + options_.move_events ||
-            !roster_.is_measured(*here)) {
+            run.progress.events <
+                run.initial_events + options_.min_events_before_move ||
+            !roster_.is_measured(*current)) {
             continue;
         }
         item_state& item = owner->second.items[run.item];
@@ -647,9 +662,9 @@
         if (is_new) {
             known->second = choose_engine(owner->second, item, now);
         }
-        const rostered_engine* const target = known->second;
+        const roster_entry* const target = known->second;
         if (target == nullptr || !roster_.is_measured(*target) ||
-            !is_move_worth(run, item, *here, *target)) {
+            !is_move_worthwhile(run, item, *current, *target)) {
             continue;
         }
         ++item.moves;
@@ -692,14 +707,14 @@
         return;
     }
     for (auto& [id, job] : jobs_) {
-        if (job.terms.time_to_live.count() == 0 ||
-            now < job.accepted_at + job.terms.time_to_live) {
+        if (job.settings.time_to_live.count() == 0 ||
+            now < job.accepted_at + job.settings.time_to_live) {
             continue;
         }
         while (!job.waiting.empty()) {
             const std::size_t index = job.waiting.begin()->second;
             job.waiting.erase(job.waiting.begin());
-            job.items[index].is_lost = true;
+            job.items[index].is_given_up = true;
             make_ready(job, index);
         }
     }
@@ -707,7 +722,7 @@
 
 void item_planner::score_items(planner_commands& out) {
     while (!to_score_.empty() &&
-           scorings_.size() < engine_terms_.scoring_slots) {
+           scorings_.size() < engine_settings_.scoring_slots) {
         const auto [id, index] = to_score_.front();
         to_score_.erase(to_score_.begin());
         const auto owner = jobs_.find(id);
@@ -718,12 +733,14 @@
         const run_ticket ticket = next_ticket_++;
         owner->second.items[index].phase = item_phase::scoring;
         scorings_[ticket] = {.job = id, .item = index};
-        const auto& kept_by = owner->second.items[index].kept_by;
-        out.emplace_back(
-            start_scoring{.ticket = ticket,
-                          .job = owner->second.source,
-                          .item = index,
-                          .made_by = kept_by.empty() ? 0 : kept_by.back()});
+        const auto& unreleased_tickets =
+            owner->second.items[index].unreleased_tickets;
+        out.emplace_back(start_scoring{
+            .ticket = ticket,
+            .job = owner->second.submission,
+            .item = index,
+            .text_ticket =
+                unreleased_tickets.empty() ? 0 : unreleased_tickets.back()});
     }
 }
 
@@ -734,8 +751,9 @@
         return job.commit_not_before;
     }
     const steady_time due =
-        job.last_commit +
-        (job.has_whole_group ? options_.whole_group_gap : options_.commit_gap);
+        job.last_commit + (job.has_complete_group
+                               ? options_.complete_group_interval
+                               : options_.commit_interval);
     return std::max(due, job.commit_not_before);
 }
 
@@ -757,15 +775,15 @@
         for (const std::size_t index : job.ready) {
             const item_state& item = job.items[index];
             commit.results.push_back(
-                {.item = job.source->items[index].id,
-                 .is_completed = !item.is_lost,
-                 .text = item.is_lost ? std::string() : item.progress.text,
+                {.item = job.submission->items[index].id,
+                 .is_completed = !item.is_given_up,
+                 .text = item.is_given_up ? std::string() : item.progress.text,
                  .versions = item.progress.versions,
                  .score = item.score});
         }
         job.in_commit = std::move(job.ready);
         job.ready.clear();
-        job.has_whole_group = false;
+        job.has_complete_group = false;
         job.is_committing = true;
         out.emplace_back(std::move(commit));
     }
@@ -776,7 +794,7 @@
     place_items(now, out);
     if (has_term_ && is_starting_ && now >= next_check_) {
         next_check_ = now + options_.check_period;
-        roster_.review(now);
+        roster_.update_typical_speed(now);
         stop_stalled(now, out);
         move_stragglers(now, out);
     }
@@ -797,13 +815,13 @@
         }
         if (!job.waiting.empty()) {
             has_waiting = true;
-            if (job.terms.time_to_live.count() > 0) {
-                consider(job.accepted_at + job.terms.time_to_live);
+            if (job.settings.time_to_live.count() > 0) {
+                consider(job.accepted_at + job.settings.time_to_live);
             }
         }
     }
     if (has_term_ && is_starting_ && (has_waiting || !runs_.empty())) {
-        consider(std::max(next_check_, adoption_until_));
+        consider(std::max(next_check_, adoption_deadline_));
     }
     return next;
 }
@@ -820,11 +838,12 @@
     return ids;
 }
 
-weight_version item_planner::least_version(const std::string& model) const {
+weight_version
+item_planner::min_allowed_version(const std::string& model) const {
     weight_version least = 0;
     for (const auto& [id, job] : jobs_) {
-        if (job.source->model == model) {
-            least = std::max(least, job.source->min_version);
+        if (job.submission->model == model) {
+            least = std::max(least, job.submission->min_version);
         }
     }
     return least;
@@ -832,7 +851,8 @@
 
 bool item_planner::has_waiting(const std::string& model) const {
     return std::any_of(jobs_.begin(), jobs_.end(), [&](const auto& row) {
-        return row.second.source->model == model && !row.second.waiting.empty();
+        return row.second.submission->model == model &&
+               !row.second.waiting.empty();
     });
 }
 
--- a/servers/batch/item_planner.hpp
+++ b/servers/batch/item_planner.hpp
@@ -20,51 +20,54 @@
 
 namespace savorydock {
 
-/// What there is of an item's text, with the versions that made it.
+/// The text that was generated so far for an item, and the weight versions
+/// that generated it.
 struct item_progress {
     std::string text;
-    /// Events in the text; a run that goes on asks for the next one.
+    /// Number of stream events in the text. A run that resumes the text asks
+    /// the engine for the next event.
     std::uint64_t events = 0;
     std::vector<weight_version> versions;
 };
 
-/// Names one run of an item; never used again.
+/// Identifies one run or one scoring of an item. Never reused.
 using run_ticket = std::uint64_t;
 
 /// How the run of an item ended.
 enum class run_end : std::uint8_t {
-    /// The whole text is there.
+    /// The text is complete.
     complete,
-    /// The stream broke; what came of it may be gone on from.
+    /// The stream broke. Another run may resume after the events received.
     interrupted,
-    /// The engine states that it didn't begin.
+    /// The engine reported that it didn't start the item.
     not_run,
-    /// The engine failed on the item.
+    /// The engine failed while it processed the item.
     failed,
-    /// The item can never be done.
-    impossible,
-    /// The engine holds a version that the job doesn't allow.
+    /// The engine rejected the request; a retry can't succeed.
+    invalid_item,
+    /// The engine has a weight version that the job doesn't allow.
     wrong_version,
-    /// The planner asked for the end.
+    /// The planner stopped the run.
     stopped,
 };
 
-/// Events that a run made since its last report.
+/// Events of a run since its last report.
 struct run_delta {
     run_ticket ticket = 0;
-    /// Events of the item before these, and with them.
+    /// Number of events of the item before this delta, and including it.
     std::uint64_t base_events = 0;
     std::uint64_t events = 0;
-    /// The data of the new events, with a line feed between two.
+    /// The data of the new events, separated by line feeds.
     std::string text;
-    /// Versions that made them, in their order.
+    /// Weight versions that generated the events, in order.
     std::vector<weight_version> versions;
 };
 BOOST_DESCRIBE_STRUCT(run_delta, (),
                       (ticket, base_events, events, text, versions))
 
-/// A run that an instance has for a planner of an earlier term, or that ended
-/// whole and is not listed as far as that instance knows.
+/// A run or scoring that an instance reports to a new planner: either still in
+/// progress for a planner of an earlier term, or completed without a
+/// confirmation that its result is listed.
 struct held_run {
     run_ticket ticket = 0;
     job_id job;
@@ -73,11 +76,11 @@
     bool is_scoring = false;
     bool has_ended = false;
     upstream_id upstream;
-    /// The whole text from the first event on, or what there is of it.
+    /// The text from the first event on, as far as it was received.
     std::uint64_t events = 0;
     std::string text;
     std::vector<weight_version> versions;
-    /// The score of a scoring that ended.
+    /// The score, if this is a scoring that ended.
     std::string score;
 };
 BOOST_DESCRIBE_STRUCT(held_run, (),
@@ -87,25 +90,25 @@
 struct run_report {
     run_ticket ticket = 0;
     run_end end = run_end::interrupted;
-    run_delta rest;
+    run_delta last_delta;
 };
-BOOST_DESCRIBE_STRUCT(run_report, (), (ticket, end, rest))
+BOOST_DESCRIBE_STRUCT(run_report, (), (ticket, end, last_delta))
 
-/// How the scoring of a sample ended.
+/// Result of the scoring of a sample.
 struct score_report {
     run_ticket ticket = 0;
-    /// Absent: the scorer failed as often as the route allows.
+    /// Absent if the scorer failed as often as the route allows.
     std::optional<std::string> score;
 };
 
-/// Result of a commit.
+/// Result of a commit, which appends results to the job's list in the store.
 enum class commit_end : std::uint8_t {
     listed,
-    /// The store did not take it; it may be tried again.
+    /// The store didn't accept the write; it may be retried.
     not_listed,
-    /// Another instance has listed results there.
+    /// Another instance has already listed results at that position.
     superseded,
-    /// The service's term isn't held any more.
+    /// This instance no longer holds the service's term.
     term_lost,
 };
 
@@ -117,7 +120,7 @@
     endpoint address;
     weight_version min_version = 0;
     bool is_single_version = false;
-    /// What there is already; the run goes on behind it.
+    /// The text received so far; the run resumes after it.
     item_progress progress;
 };
 
@@ -125,7 +128,7 @@
     run_ticket ticket = 0;
 };
 
-/// A result is listed: its instance needs to keep it no longer.
+/// The result is listed, so the instance that buffers it may drop it.
 struct release_run {
     run_ticket ticket = 0;
 };
@@ -134,21 +137,21 @@
     run_ticket ticket = 0;
     std::shared_ptr<const batch_job> job;
     std::size_t item = 0;
-    /// The run that made the text, if this planner saw it.
-    run_ticket made_by = 0;
+    /// Run that generated the text; 0 if not known to this planner.
+    run_ticket text_ticket = 0;
 };
 
 struct commit_results {
     job_id job;
-    /// Tells this try from others of the same job.
+    /// Distinguishes this attempt from other commits of the same job.
     std::uint64_t number = 0;
     std::size_t first_position = 0;
     std::vector<item_result> results;
-    /// All results of the job are listed with these.
+    /// With these results, all results of the job are listed.
     bool is_last = false;
 };
 
-/// A part of an item's text, to be kept for a planner that takes over.
+/// A part of an item's text, stored so that the next planner can resume it.
 struct saved_progress {
     std::size_t item = 0;
     std::uint64_t base_events = 0;
@@ -169,8 +172,8 @@
                  commit_results, save_progress>;
 using planner_commands = std::vector<planner_command>;
 
-/// What the planner needs to know of a job's route.
-struct job_terms {
+/// Settings of a job that come from its route.
+struct job_settings {
     std::chrono::milliseconds target{7'500};
     std::chrono::milliseconds time_to_live{40'000};
     std::uint32_t max_attempts = 1;
@@ -178,137 +181,160 @@
     bool is_single_version = false;
 };
 
-/// What the planner needs to know of the service beside its upstreams.
-struct engine_terms {
-    /// Tokens that the cache of one engine holds.
+/// Settings of an engine service, apart from its upstreams.
+struct engine_settings {
+    /// Capacity of one engine's cache; 0 if not known.
     std::uint64_t cache_tokens = 0;
     /// Tokens in one event of a stream.
     std::uint64_t tokens_per_event = 1;
-    /// Scoring calls that may be in progress at a time; the rest of the
-    /// scorer's slots is left to callers.
+    /// Maximum number of concurrent scoring calls. The scorer's other slots are
+    /// reserved for callers.
     std::size_t scoring_slots = 1;
 };
 
 struct item_planner_options {
     engine_roster_options engines;
-    /// Results wait that long for others, so that one write lists them all.
-    /// They are of no use to a trainer before their group is whole.
-    std::chrono::milliseconds commit_gap{1'000};
-    /// The same once a group is whole: some that end together share a write.
-    std::chrono::milliseconds whole_group_gap{40};
-    /// Pause before a refused commit is tried again.
-    std::chrono::milliseconds commit_retry{220};
-    /// An item moves off an engine that is so many times slower than another
-    /// with a free slot. A move costs some ten milliseconds: the other engine
-    /// reads prompt and text anew.
+    /// Minimum time between two commits of a job, so that one write lists
+    /// several results. A trainer can't use results before their group is
+    /// complete, so the delay doesn't matter to it.
+    std::chrono::milliseconds commit_interval{1'000};
+    /// The same if a group became complete: short, but long enough for groups
+    /// that complete together to share a write.
+    std::chrono::milliseconds complete_group_interval{40};
+    /// Delay before a refused commit is retried.
+    std::chrono::milliseconds commit_retry_delay{220};
+    /// An item moves to another engine with a free slot if its own engine is
+    /// slower by this factor. A move costs some ten milliseconds, because the
+    /// other engine processes prompt and text again.
     double move_ratio = 1.15;
-    /// Time saved below which an item stays where it is.
-    std::chrono::milliseconds move_least{300};
+    /// An item moves only if that saves at least this much time.
+    std::chrono::milliseconds min_time_saved{300};
+    /// Maximum number of moves of one item.
     std::uint32_t max_moves = 4;
+    /// Maximum number of moves in one check.
     std::size_t moves_per_round = 8;
-    /// Events of a run before it may move: what it made is worth a prompt.
-    std::uint64_t move_events = 4;
-    /// A run without events for that long is taken off an engine that is not
-    /// loading weights; reports come every 400 ms.
-    std::chrono::milliseconds stall_time{1'000};
-    /// Texts of runs in progress are saved that often, if so many events came.
+    /// Minimum number of events of a run before it may move, so that its
+    /// processing of the prompt pays off.
+    std::uint64_t min_events_before_move = 4;
+    /// A run without events for this long is stopped, unless its engine is
+    /// loading weights. Runners report every 400 ms.
+    std::chrono::milliseconds stall_timeout{1'000};
+    /// Texts of runs in progress are saved at this interval, each one if it has
+    /// at least `save_events` new events.
     std::chrono::milliseconds save_period{1'500};
     std::uint64_t save_events = 12;
-    /// Texts of unfinished items that may come again in a later job.
-    std::size_t max_carried = 2'048;
-    /// How often running items are compared for moves.
+    /// Maximum number of texts kept from ended jobs, in case a later job
+    /// submits the same items again.
+    std::size_t max_retained_texts = 2'048;
+    /// Interval of the checks for slow or stalled runs.
     std::chrono::milliseconds check_period{250};
-    /// How long a new planner waits for what instances hold of its
-    /// predecessor's runs: some round trips, and their texts on a slow link.
-    std::chrono::milliseconds adoption_time{350};
+    /// How long a new planner waits for instances to report the runs of its
+    /// predecessor: a few round trips, and the transfer of the texts over a
+    /// slow link.
+    std::chrono::milliseconds adoption_timeout{350};
 };
 
-/// Decides which items of the batch jobs of one service run next, and where.
+/// Decides which batch items of one service run next, and on which engine.
 ///
-/// Load pattern: every few seconds a job of a hundred or more items with long
-/// tails arrives at once, more than there are slots, on engines of unequal
-/// speed that break, slow down and load new weights. A trainer waits for whole
-/// groups and only for a share of them. So groups with the most work left go
-/// last, among the others the longest items first and onto the fastest engine
-/// with room; nothing queues at an engine that can wait here; and long items
-/// move off slow engines once slots are free, and off engines that begin to
-/// load weights, which would hold them up for a second.
+/// Load pattern: every few seconds a job of a hundred or more items arrives,
+/// more than there are slots. Item lengths have a long tail, and engines differ
+/// in speed, fail, slow down and load new weights. A trainer needs complete
+/// groups, and only a share of the groups. Therefore:
+/// - Groups with the longest items start last. Among the others, the longest
+///   items start first, on the fastest engine with room.
+/// - Items wait here and are never queued at an engine.
+/// - Long items move off slow engines once other slots are free, and off
+///   engines that start to load weights, which would delay them by a second.
 ///
-/// Not thread safe; deterministic. Inputs carry the time; commands are
-/// appended to `out`. After one or more inputs `advance` must be called, which
-/// starts, moves, gives up and lists what is due.
+/// A result is listed once it is in the job's list in the store, where the
+/// trainer can read it.
+///
+/// Not thread safe; deterministic. The current time is passed in; commands are
+/// appended to `out`. After one or more inputs `advance` must be called.
 class item_planner {
 public:
-    using loading_test = engine_roster::loading_test;
+    using loading_check = engine_roster::loading_check;
 
-    /// Tickets count from `first_ticket`, which must differ between planners.
+    /// Tickets are numbered from `first_ticket`. The ranges of different
+    /// planners must not overlap.
     item_planner(item_planner_options options, run_ticket first_ticket,
-                 loading_test is_loading);
+                 loading_check is_loading);
 
-    /// Begins (true) or ends a term as the service's planner. Without a term
-    /// nothing starts and nothing is listed, but runs in progress go on.
+    /// Starts (true) or ends (false) this instance's term as the planner of the
+    /// service. Without a term, no runs start and no results are listed, but
+    /// runs in progress continue.
     void on_term(bool is_held);
 
-    /// A term follows another planner's: until all instances have told what
-    /// they hold (`end_adoption`), or the time for it is over, nothing starts.
+    /// Call if another planner held the term before. No run starts until all
+    /// instances have reported the runs that they hold (`end_adoption`) or
+    /// `adoption_timeout` is over.
     void begin_adoption(steady_time now);
     void end_adoption();
-    /// An instance holds a run. It goes on, or its text is taken, unless its
-    /// item needs neither.
-    void on_held(held_run held, steady_time now, planner_commands& out);
+    /// An instance reported a held run. The planner continues the run or takes
+    /// its result, or stops the run if the item no longer needs it.
+    void on_held_run(held_run held, steady_time now, planner_commands& out);
 
-    /// Starts nothing from now on; what runs may finish and is listed.
+    /// Starts no more runs. Runs in progress may finish, and their results are
+    /// listed.
     void stop_starting() { is_starting_ = false; }
 
-    /// Whether what is known of the upstreams is fresh. Without fresh news
-    /// nothing starts: an upstream may have announced that it leaves.
-    void set_informed(bool is_informed) { is_informed_ = is_informed; }
+    /// Whether the data about upstreams is up to date. No run starts on stale
+    /// data, because an upstream may have announced that it is leaving.
+    void set_fleet_data_current(bool is_current) {
+        is_fleet_data_current_ = is_current;
+    }
 
-    /// Another instance plans now: drops all jobs and stops all runs.
+    /// Removes all jobs and stops all runs, because another instance is the
+    /// planner now.
     void drop_all(planner_commands& out);
 
-    /// Takes up a job, or confirms one after a new term. `listed` are the
-    /// items with a result, in the order of positions.
-    /// `saved` has the texts of unfinished items by their index.
+    /// Adds a job, or updates a known one from the store after a new term or a
+    /// superseded commit. `listed` are the items with a listed result, ordered
+    /// by position. `saved` has the texts of unfinished items by item index.
     void on_job(const job_record& record, std::shared_ptr<const batch_job> job,
-                const job_terms& terms, const std::vector<item_id>& listed,
+                const job_settings& settings,
+                const std::vector<item_id>& listed,
                 const std::map<std::size_t, item_progress>& saved,
                 steady_time accepted_at, steady_time now,
                 planner_commands& out);
 
-    /// The job was ended: its runs stop and nothing more is listed.
+    /// The job ended: stops its runs and lists no more results.
     void on_job_ended(const job_id& job, planner_commands& out);
 
     void on_upstreams(const std::vector<upstream_entry>& upstreams,
-                      const engine_terms& terms, steady_time now);
+                      const engine_settings& settings, steady_time now);
 
-    /// An upstream was ordered to load weights of a model: its runs of that
-    /// model go on elsewhere if there is room.
+    /// An upstream was ordered to load weights of a model. Stops its runs of
+    /// that model so that they resume on another engine, if one has room.
     void on_loading(const upstream_id& upstream, const std::string& model,
                     steady_time now, planner_commands& out);
 
     void on_run_delta(run_delta delta, steady_time now, planner_commands& out);
     void on_run_ended(run_report report, steady_time now);
-    /// The instance that ran or scored the ticket's item is lost.
+    /// The instance that ran or scored the ticket's item no longer does so.
     void on_run_lost(run_ticket ticket, steady_time now);
     void on_scored(score_report report);
-    /// `number` is that of the commit. A report on an older try is ignored.
+    /// `number` is the one in the `commit_results`. Reports about earlier
+    /// attempts are ignored.
     void on_committed(const job_id& job, std::uint64_t number, commit_end end,
                       steady_time now, planner_commands& out);
 
-    /// Does what is due: starts, moves, gives up, commits.
+    /// Gives up expired items; starts, stops and moves runs; starts scorings;
+    /// commits results and saves texts, as far as each is due.
     void advance(steady_time now, planner_commands& out);
     [[nodiscard]] std::optional<steady_time> next_wakeup() const;
 
     [[nodiscard]] bool has_job(const job_id& job) const;
     [[nodiscard]] std::vector<job_id> jobs() const;
-    /// Runs of the model on an upstream.
+    /// Number of runs of the model on an upstream.
     [[nodiscard]] std::size_t runs_on(const upstream_id& upstream,
                                       const std::string& model) const {
         return roster_.runs_on(upstream, model);
     }
-    /// The oldest version that all open jobs of the model allow; 0: any.
-    [[nodiscard]] weight_version least_version(const std::string& model) const;
+    /// The oldest version that all open jobs of the model allow; 0 if they
+    /// allow any.
+    [[nodiscard]] weight_version
+    min_allowed_version(const std::string& model) const;
     [[nodiscard]] bool has_waiting(const std::string& model) const;
     [[nodiscard]] std::size_t waiting_items() const;
     [[nodiscard]] std::size_t running_items() const { return runs_.size(); }
@@ -317,9 +343,10 @@
     enum class item_phase : std::uint8_t {
         waiting,
         running,
-        /// Its text is whole; it waits for a place at the scorer.
+        /// The text is complete; waits for a scoring slot.
         to_score,
         scoring,
+        /// The result is final but not yet listed.
         ready,
         listed,
     };
@@ -328,43 +355,49 @@
         item_phase phase = item_phase::waiting;
         std::uint32_t failures = 0;
         std::uint32_t moves = 0;
-        /// Tokens that are probably still to be made.
+        /// Estimated number of tokens of the whole text.
         std::uint64_t expected_tokens = 0;
         std::uint64_t prompt_tokens = 0;
         item_progress progress;
         std::string score;
-        bool is_lost = false;
-        /// Its text has its last event.
-        bool is_whole = false;
-        /// Smaller goes first within the job.
+        bool is_given_up = false;
+        /// The text has its last event.
+        bool is_text_complete = false;
+        /// Items with a smaller rank start first within the job.
         std::size_t rank = 0;
+        /// Engines that failed on the item.
         std::set<upstream_id> avoid;
-        /// The run that made its text and the one that scored it, for as long
-        /// as their instances keep what they brought.
-        std::vector<run_ticket> kept_by;
+        /// Tickets of the run and of the scoring whose instances buffer the
+        /// text and the score until the result is listed.
+        std::vector<run_ticket> unreleased_tickets;
     };
 
     struct job_state {
         job_record record;
-        std::shared_ptr<const batch_job> source;
-        job_terms terms;
+        std::shared_ptr<const batch_job> submission;
+        job_settings settings;
         steady_time accepted_at;
         std::vector<item_state> items;
-        /// Waiting items by rank.
+        /// Waiting items as pairs of rank and item index.
         std::set<std::pair<std::size_t, std::size_t>> waiting;
+        /// Indexes of items whose result may be committed.
         std::vector<std::size_t> ready;
-        /// Items of a group that are neither ready nor listed.
+        /// Per group, the number of items neither ready nor listed.
         std::map<std::string, std::size_t> open_items;
-        /// A group became whole since the last commit.
-        bool has_whole_group = false;
+        /// A group became complete since the last commit, or a refused commit
+        /// must be retried.
+        bool has_complete_group = false;
+        /// Position of the next result in the job's list.
         std::size_t next_position = 0;
         bool is_committing = false;
         std::uint64_t commit_number = 0;
+        /// Items of the commit in progress.
         std::vector<std::size_t> in_commit;
         steady_time last_commit{};
-        /// The store refused the last try; the next one waits until then.
+        /// Earliest time of the next commit, after the store refused one.
         steady_time commit_not_before{};
-        /// Its results were read since the term began.
+        /// The listed results were read from the store in the current term and
+        /// not superseded since.
         bool is_confirmed = false;
     };
 
@@ -375,18 +408,20 @@
         std::string model;
         std::uint64_t cache_tokens = 0;
         item_progress progress;
-        std::uint64_t first_events = 0;
+        /// Events that the text had at the start of the run.
+        std::uint64_t initial_events = 0;
         steady_time last_event_at;
+        /// A stop was requested.
         bool is_stopping = false;
-        /// What was saved of the text: events and bytes.
+        /// Size of the saved part of the text in events and bytes.
         std::uint64_t saved_events = 0;
         std::size_t saved_bytes = 0;
     };
 
-    /// The text of an item of an ended job.
-    struct carried_text {
+    /// The text of an item of an ended job, for a later job with that item.
+    struct retained_text {
         item_progress progress;
-        bool is_whole = false;
+        bool is_text_complete = false;
     };
 
     struct scoring_state {
@@ -394,60 +429,73 @@
         std::size_t item = 0;
     };
 
-    void take_items(job_state& job);
+    void add_items(job_state& job);
     void place_items(steady_time now, planner_commands& out);
-    [[nodiscard]] const rostered_engine* choose_engine(const job_state& job,
-                                                       const item_state& item,
-                                                       steady_time now) const;
-    [[nodiscard]] std::uint64_t cache_need(const item_state& item) const;
-    void start(job_state& job, std::size_t item, const rostered_engine& engine,
+    [[nodiscard]] const roster_entry* choose_engine(const job_state& job,
+                                                    const item_state& item,
+                                                    steady_time now) const;
+    /// Cache tokens that the item is expected to fill.
+    [[nodiscard]] std::uint64_t
+    expected_cache_tokens(const item_state& item) const;
+    void start(job_state& job, std::size_t item, const roster_entry& engine,
                steady_time now, planner_commands& out);
     void move_stragglers(steady_time now, planner_commands& out);
     void give_up_expired(steady_time now);
     void score_items(planner_commands& out);
     void commit_ready(steady_time now, planner_commands& out);
     [[nodiscard]] steady_time commit_due(const job_state& job) const;
-    void close_item(job_state& job, std::size_t item);
-    void put_back(job_state& job, std::size_t item);
+    /// Updates the group of an item that becomes ready or listed. Call before
+    /// the phase changes.
+    void count_finished_item(job_state& job, std::size_t item);
+    void requeue(job_state& job, std::size_t item);
+    /// The text is complete: scores the item next, or makes it ready.
     void finish_text(job_state& job, std::size_t item, item_progress progress);
     void make_ready(job_state& job, std::size_t item);
-    void measure(const run_state& run, std::uint64_t events, steady_time now);
-    /// What an item would gain on another engine is worth a move.
-    [[nodiscard]] bool is_move_worth(const run_state& run,
-                                     const item_state& item,
-                                     const rostered_engine& here,
-                                     const rostered_engine& target) const;
-    /// Appends the events; false if some before them are missing.
-    [[nodiscard]] static bool append(item_progress& progress,
-                                     const run_delta& delta);
-    [[nodiscard]] static bool fits(const item_progress& progress,
-                                   const job_state& job);
-    void adopt_held(const job_id& id, job_state& job, steady_time now,
-                    planner_commands& out);
+    /// Updates the speed of the run's engine with the events received.
+    void record_speed(const run_state& run, std::uint64_t events,
+                      steady_time now);
+    /// Whether the item would finish enough earlier on the other engine.
+    [[nodiscard]] bool is_move_worthwhile(const run_state& run,
+                                          const item_state& item,
+                                          const roster_entry& current,
+                                          const roster_entry& target) const;
+    /// Appends the events. Returns false if earlier events are missing.
+    [[nodiscard]] static bool append_delta(item_progress& progress,
+                                           const run_delta& delta);
+    /// Whether a run of the job may continue the text.
+    [[nodiscard]] static bool is_reusable(const item_progress& progress,
+                                          const job_state& job);
+    /// Adopts all held runs reported for the job.
+    void adopt_held_runs(const job_id& id, job_state& job, steady_time now,
+                         planner_commands& out);
     void adopt_run(job_state& job, std::size_t item, held_run held,
                    steady_time now, planner_commands& out);
-    [[nodiscard]] bool is_placing(steady_time now) const;
-    void resume_carried(job_state& job);
-    void carry(const job_state& job);
+    /// Whether runs may start now.
+    [[nodiscard]] bool may_place_items(steady_time now) const;
+    /// Uses texts of ended jobs for the same items of a new job.
+    void reuse_retained_texts(job_state& job);
+    /// Keeps the texts of incomplete groups of a job that ends.
+    void retain_texts(const job_state& job);
     void stop_stalled(steady_time now, planner_commands& out);
     void save_texts(steady_time now, planner_commands& out);
-    /// By the rank of their routes, then by the time at which they are due.
+    /// Sorted by the priority of the route, then by the target time.
     [[nodiscard]] std::vector<job_state*> jobs_by_urgency();
 
     item_planner_options options_;
     engine_roster roster_;
     bool has_term_ = false;
     bool is_starting_ = true;
-    bool is_informed_ = true;
+    bool is_fleet_data_current_ = true;
     std::map<job_id, job_state> jobs_;
     std::map<run_ticket, run_state> runs_;
     std::map<run_ticket, scoring_state> scorings_;
+    /// Items that wait for a scoring slot, in order.
     std::vector<std::pair<job_id, std::size_t>> to_score_;
-    engine_terms engine_terms_;
-    std::map<item_id, carried_text> carried_;
-    /// What instances hold of jobs that are not loaded yet.
-    std::map<job_id, std::vector<held_run>> held_;
-    steady_time adoption_until_{};
+    engine_settings engine_settings_;
+    std::map<item_id, retained_text> retained_texts_;
+    /// Held runs of jobs that aren't loaded or confirmed yet.
+    std::map<job_id, std::vector<held_run>> held_runs_;
+    steady_time adoption_deadline_{};
     run_ticket next_ticket_;
     steady_time next_check_{};
     steady_time next_save_{};
--- a/servers/batch/item_ranking.cpp
+++ b/servers/batch/item_ranking.cpp
@@ -16,10 +16,10 @@
     return item.max_tokens > 0 ? std::min(expected, item.max_tokens) : expected;
 }
 
-/// Groups beyond those that the trainer waits for: the ones with the longest
-/// item.
-std::set<std::string> spare_groups(const batch_job& job,
-                                   const std::vector<ranked_item>& items) {
+/// Returns the groups that the trainer doesn't need to wait for: those with the
+/// longest items, as many as exceed `target_groups`.
+std::set<std::string> surplus_groups(const batch_job& job,
+                                     const std::vector<ranked_item>& items) {
     std::map<std::string, std::uint64_t> longest;
     for (std::size_t at = 0; at < items.size(); ++at) {
         std::uint64_t& tokens = longest[job.items[at].group];
@@ -32,10 +32,10 @@
     }
     std::sort(by_length.rbegin(), by_length.rend());
     const std::size_t wanted = job.target_groups;
-    const std::size_t spare =
+    const std::size_t surplus_count =
         wanted > 0 && wanted < by_length.size() ? by_length.size() - wanted : 0;
     std::set<std::string> groups;
-    for (std::size_t at = 0; at < spare; ++at) {
+    for (std::size_t at = 0; at < surplus_count; ++at) {
         groups.insert(by_length[at].second);
     }
     return groups;
@@ -50,14 +50,14 @@
         items.push_back({.prompt_tokens = source.prompt_tokens,
                          .expected_tokens = expected_tokens(source)});
     }
-    const std::set<std::string> spare = spare_groups(job, items);
+    const std::set<std::string> surplus = surplus_groups(job, items);
     std::vector<std::size_t> order(items.size());
     std::iota(order.begin(), order.end(), std::size_t{0});
     std::stable_sort(order.begin(), order.end(), [&](auto left, auto right) {
-        const bool is_left_spare = spare.contains(job.items[left].group);
-        const bool is_right_spare = spare.contains(job.items[right].group);
-        if (is_left_spare != is_right_spare) {
-            return is_right_spare;
+        const bool is_left_surplus = surplus.contains(job.items[left].group);
+        const bool is_right_surplus = surplus.contains(job.items[right].group);
+        if (is_left_surplus != is_right_surplus) {
+            return is_right_surplus;
         }
         return items[left].expected_tokens > items[right].expected_tokens;
     });
--- a/servers/batch/item_ranking.hpp
+++ b/servers/batch/item_ranking.hpp
@@ -7,23 +7,25 @@
 
 namespace savorydock {
 
-/// What is known of an item before it runs.
+/// Size estimates and start order of an item.
 struct ranked_item {
     std::uint64_t prompt_tokens = 0;
-    /// Tokens that will probably be generated.
+    /// Estimated number of generated tokens.
     std::uint64_t expected_tokens = 0;
-    /// Smaller starts first within the job; unique.
+    /// Items with a smaller rank start first; unique within the job.
     std::size_t rank = 0;
 };
 
-/// Decides the order in which the items of one job start.
+/// Returns the order in which the items of a job start, one entry per item in
+/// the order of `job.items`.
 ///
-/// Load pattern: a job of more items than there are slots, with long tails, of
-/// which the trainer waits for a share of the groups. The groups with the
-/// longest items are those it can do without, so they go last; among the others
-/// the longest items go first, since they decide when their groups are whole.
+/// Load pattern: a job has more items than there are slots, their lengths have
+/// a long tail, and the trainer waits for only a share of the groups. The
+/// groups with the longest items are the ones it can do without, so they start
+/// last. Among the others the longest items start first, because they determine
+/// when their groups are complete.
 ///
-/// Thread safe. Returns one entry an item, in the job's order.
+/// Thread safe.
 [[nodiscard]] std::vector<ranked_item> rank_items(const batch_job& job);
 
 } // namespace savorydock
--- a/servers/batch/job_keys.cpp
+++ b/servers/batch/job_keys.cpp
@@ -8,7 +8,8 @@
 
 namespace json = boost::json;
 
-/// Numbers in keys have this width, so that keys sort by them.
+/// Numbers in keys are padded with zeros to these widths, so that keys sort in
+/// numerical order.
 constexpr std::size_t number_width = 6;
 constexpr std::size_t revision_width = 16;
 
@@ -69,7 +70,7 @@
 outcome<job_record> decode_job_record(std::string_view key,
                                       std::string_view text) {
     const failure invalid{result_code::invalid_document,
-                          "not a record of a job"};
+                          "not a valid job record"};
     if (!key.starts_with(job_prefix)) {
         return invalid;
     }
--- a/servers/batch/job_keys.hpp
+++ b/servers/batch/job_keys.hpp
@@ -10,20 +10,20 @@
 
 namespace savorydock {
 
-/// The service's own keys in the platform's store.
+/// Keys of savorydock's own data in the platform's store:
 ///
-/// c/job/JOB          the job's record; small, mirrored by all instances
-/// c/term/SERVICE     the planner of an engine service, with its lease
-/// d/JOB/PART         the submission as it came, in parts
-/// p/JOB/TERM-NUMBER  parts of texts of unfinished items
-/// r/JOB/POSITION     results from that position on, one encoded row a line
+/// c/job/JOB          job record; small, mirrored by all instances
+/// c/term/SERVICE     planner of an engine service, with its lease
+/// d/JOB/PART         submission as received, split into parts
+/// p/JOB/TERM-NUMBER  saved parts of the texts of unfinished items
+/// r/JOB/POSITION     results from this position on, one encoded row per line
 ///
 /// All functions are thread safe.
 /// @{
 inline constexpr std::string_view control_prefix = "c/";
 inline constexpr std::string_view job_prefix = "c/job/";
 inline constexpr std::string_view term_prefix = "c/term/";
-/// The terms of the zones' feeders.
+/// Prefix of the term keys of the zones' feeders.
 inline constexpr std::string_view feed_term_prefix = "c/term/~feed/";
 
 [[nodiscard]] std::string job_key(const job_id& job);
@@ -42,7 +42,8 @@
 [[nodiscard]] outcome<job_record> decode_job_record(std::string_view key,
                                                     std::string_view text);
 
-/// Rows are encoded results without line feeds.
+/// Join or split the value of a results key. Rows are encoded results and
+/// contain no line feeds.
 [[nodiscard]] std::string join_rows(const std::vector<std::string>& rows);
 [[nodiscard]] std::vector<std::string> split_rows(std::string_view text);
 /// @}
--- a/servers/batch/run_message.hpp
+++ b/servers/batch/run_message.hpp
@@ -17,7 +17,8 @@
 };
 BOOST_DESCRIBE_STRUCT(run_header, (), (name, value))
 
-/// All that an instance needs to run an item on an engine, or to score it.
+/// Everything that an instance needs to run an item on an engine or to score
+/// it.
 struct run_task {
     run_ticket ticket = 0;
     bool is_scoring = false;
@@ -33,7 +34,8 @@
     std::string address;
     weight_version min_version = 0;
     bool is_single_version = false;
-    /// What there is of the text; the run goes on behind it.
+    /// Number of events received so far, with their text and weight versions
+    /// below; the run resumes after them.
     std::uint64_t after_event = 0;
     std::string text;
     std::vector<weight_version> versions;
@@ -43,52 +45,58 @@
                        upstream, address, min_version, is_single_version,
                        after_event, text, versions))
 
-/// From the planner of a service to an instance that runs its items. Without
-/// any task or ticket it says that the planner lives.
-struct run_order {
+/// Message from the planner of a service to an instance that runs its items.
+/// Without any task or ticket it serves as a heartbeat of the planner.
+struct runner_command {
     service_name service;
+    /// Runs and scorings to start.
     std::vector<run_task> tasks;
+    /// Runs and scorings to stop.
     std::vector<run_ticket> stopped;
-    /// The planner's term; orders of an older one than known are void.
+    /// The planner's term. The receiver ignores commands of an older term than
+    /// the latest it knows.
     store_revision term = 0;
-    /// The planner is new: it wants to know all that the instance holds.
+    /// The planner is new and asks the instance to report all runs that it
+    /// holds.
     bool is_takeover = false;
-    /// Results that are listed and need not be kept any longer.
+    /// Runs and scorings whose results are listed; the instance may drop them.
     std::vector<run_ticket> released;
 };
-BOOST_DESCRIBE_STRUCT(run_order, (),
+BOOST_DESCRIBE_STRUCT(runner_command, (),
                       (service, tasks, stopped, term, is_takeover, released))
 
-/// A job was accepted or ended: told to the planner of its service at once,
-/// which otherwise hears of it from its feeder some hundred milliseconds later.
+/// Notifies the planner of a service that a job was accepted or ended. The
+/// planner's feeder would deliver the change some hundred milliseconds later.
 struct job_notice {
     job_id job;
-    /// The job's record as the store has it.
+    /// The job record as encoded in the store.
     std::string record;
 };
 BOOST_DESCRIBE_STRUCT(job_notice, (), (job, record))
 
-/// How a scoring ended.
-struct score_news {
+/// Result of a scoring.
+struct score_message {
     run_ticket ticket = 0;
+    /// False if the scorer failed as often as the route allows.
     bool has_score = false;
     std::string score;
 };
-BOOST_DESCRIBE_STRUCT(score_news, (), (ticket, has_score, score))
+BOOST_DESCRIBE_STRUCT(score_message, (), (ticket, has_score, score))
 
-/// From an instance that runs items to the planner of their service.
-struct run_news {
+/// Message from an instance that runs items to the planner of their service.
+struct runner_update {
     service_name service;
     std::vector<run_delta> deltas;
     std::vector<run_report> ends;
-    std::vector<score_news> scores;
-    /// All runs and scorings that the instance has for the planner.
+    std::vector<score_message> scores;
+    /// All runs and scorings that the instance has in progress for the planner.
     std::vector<run_ticket> active;
-    /// The answer to a takeover of that term.
+    /// If not 0, this message answers the takeover in that term, and `held`
+    /// lists all runs that the instance holds.
     store_revision takeover_term = 0;
     std::vector<held_run> held;
 };
-BOOST_DESCRIBE_STRUCT(run_news, (),
+BOOST_DESCRIBE_STRUCT(runner_update, (),
                       (service, deltas, ends, scores, active, takeover_term,
                        held))
 
--- a/servers/batch/runner_pool.cpp
+++ b/servers/batch/runner_pool.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A runner that fell silent is left alone for so many times the silence.
-constexpr int pause_in_silences = 3;
+/// A lost runner gets no new runs for this many times the silence timeout.
+constexpr int pause_factor = 3;
 
 } // namespace
 
@@ -34,24 +34,25 @@
 
 std::optional<instance_id>
 runner_pool::choose_near(const node_directory& directory,
-                         const runner_wish& wish, steady_time now) const {
+                         const runner_preference& preference,
+                         steady_time now) const {
     double largest = 0;
     for (const auto& [instance, entry] : directory) {
-        if (entry.zone == wish.zone) {
+        if (entry.zone == preference.zone) {
             largest = std::max(largest, entry.processor_share);
         }
     }
     std::optional<instance_id> best;
     std::uint64_t best_rank = 0;
     for (const auto& [instance, entry] : directory) {
-        if (entry.zone != wish.zone || entry.is_leaving ||
+        if (entry.zone != preference.zone || entry.is_leaving ||
             is_paused(instance, now) ||
-            entry.processor_share < options_.near_size * largest ||
+            entry.processor_share < options_.near_min_size * largest ||
             load_with_one_more(entry) > options_.near_share) {
             continue;
         }
-        const std::uint64_t rank =
-            stable_hash(instance.text(), stable_hash(wish.upstream.text()));
+        const std::uint64_t rank = stable_hash(
+            instance.text(), stable_hash(preference.upstream.text()));
         if (!best || rank > best_rank) {
             best = instance;
             best_rank = rank;
@@ -69,7 +70,8 @@
             continue;
         }
         const double load = load_with_one_more(entry);
-        // Runs stay here as long as there is room: no message is cheaper.
+        // Local runs need no messages, so this instance is preferred while it
+        // has room.
         const bool is_free = instance == options_.self && load <= 1;
         const double cost = is_free ? 0 : load;
         if (cost < best_load) {
@@ -80,13 +82,13 @@
     return best;
 }
 
-instance_id runner_pool::assign(run_ticket ticket,
-                                const node_directory& directory,
-                                steady_time now,
-                                const std::optional<runner_wish>& wish) {
+instance_id
+runner_pool::assign(run_ticket ticket, const node_directory& directory,
+                    steady_time now,
+                    const std::optional<runner_preference>& preference) {
     std::optional<instance_id> near;
-    if (wish) {
-        near = choose_near(directory, *wish, now);
+    if (preference) {
+        near = choose_near(directory, *preference, now);
     }
     instance_id best = near ? *near : choose_least_loaded(directory, now);
     adopt(ticket, best, now);
@@ -118,29 +120,30 @@
     assignments_.erase(found);
 }
 
-std::vector<run_ticket> runner_pool::on_news(const instance_id& runner,
-                                             const std::set<run_ticket>& active,
-                                             steady_time now) {
+std::vector<run_ticket>
+runner_pool::on_runner_update(const instance_id& runner,
+                              const std::set<run_ticket>& active,
+                              steady_time now) {
     heard_at_[runner] = now;
     std::vector<run_ticket> missing;
     for (const auto& [ticket, assigned] : assignments_) {
         if (assigned.runner == runner && !active.contains(ticket) &&
-            now > assigned.assigned_at + options_.silence) {
+            now > assigned.assigned_at + options_.silence_timeout) {
             missing.push_back(ticket);
         }
     }
     return missing;
 }
 
-std::vector<run_ticket> runner_pool::take_lost(steady_time now) {
+std::vector<run_ticket> runner_pool::take_lost_runs(steady_time now) {
     std::vector<run_ticket> lost;
     for (const auto& [ticket, assigned] : assignments_) {
         if (assigned.runner != options_.self &&
             now > std::max(heard_at_[assigned.runner], assigned.assigned_at) +
-                      options_.silence) {
+                      options_.silence_timeout) {
             lost.push_back(ticket);
             not_before_[assigned.runner] =
-                now + options_.silence * pause_in_silences;
+                now + options_.silence_timeout * pause_factor;
         }
     }
     for (const run_ticket ticket : lost) {
--- a/servers/batch/runner_pool.hpp
+++ b/servers/batch/runner_pool.hpp
@@ -15,72 +15,76 @@
 
 struct runner_pool_options {
     instance_id self;
-    /// Runs that a whole processor core carries beside other work: a run makes
-    /// some 28 events a second at about 50 microseconds each (measured on
-    /// surtitle-cues), and a machine should spend less than a third on them.
+    /// Runs that one processor core can handle besides other work. A run has
+    /// about 28 events per second that take about 50 microseconds each, and
+    /// runs should use less than a third of a machine.
     double runs_per_core = 220;
-    /// Share of its own capacity that the planner uses for runs; it lists the
-    /// results of all others besides.
+    /// Share of its own capacity that the planner's instance uses for runs. It
+    /// also lists the results of all other instances.
     double own_share = 0.5;
-    /// An instance near the engine is chosen while it carries at most this
-    /// share of its runs: one machine's loss should cost few of them.
+    /// An instance near the engine is chosen only while its load is at most
+    /// this share of its capacity, so that the loss of one machine affects few
+    /// runs.
     double near_share = 0.5;
-    /// Instances of a zone count as near if their processor is at least so
-    /// large, measured by the largest one's: a small one spends much of its
-    /// share on each stream.
-    double near_size = 0.5;
-    /// A runner that says nothing for that long while it has runs is taken
-    /// for lost.
-    std::chrono::milliseconds silence{1'500};
+    /// Instances of a zone are chosen as near only if their processor share is
+    /// at least this fraction of the largest one in the zone. A small instance
+    /// would spend much of its processor on each stream.
+    double near_min_size = 0.5;
+    /// A runner that has runs and sends no message for this long is considered
+    /// lost.
+    std::chrono::milliseconds silence_timeout{1'500};
 };
 
-/// Where a run would best be carried out.
-struct runner_wish {
-    /// The zone of its engine.
+/// Where a run should preferably be carried out.
+struct runner_preference {
+    /// The zone of the run's engine.
     availability_zone zone;
     upstream_id upstream;
 };
 
-/// Decides which instance runs an item.
+/// Chooses the instance that runs an item (the runner) and tracks which runs
+/// each instance has.
 ///
-/// Load pattern: hundreds of streams at once, started by one planner whose
-/// machine may be the smallest of the fleet. Runs go to instances by what
-/// their processors carry; a few runs stay with the planner, many spread.
+/// Load pattern: one planner, possibly on the smallest machine of the fleet,
+/// starts hundreds of concurrent streams. Runs are distributed by processor
+/// share; a few stay on the planner's instance, many are spread.
 ///
-/// Runs of one engine go to the same instance of the engine's zone as long as
-/// it has room: their connections are used again, their bytes stay in the zone,
-/// and they outlive a planner elsewhere.
+/// Runs of one engine go to the same instance in the engine's zone as long as
+/// it has room. This reuses connections, keeps the traffic within the zone, and
+/// the runs survive the loss of a planner on another instance.
 ///
 /// Not thread safe; deterministic.
 class runner_pool {
 public:
     explicit runner_pool(runner_pool_options options);
 
-    /// Chooses a runner for a ticket and remembers it.
-    instance_id assign(run_ticket ticket, const node_directory& directory,
-                       steady_time now,
-                       const std::optional<runner_wish>& wish = std::nullopt);
+    /// Chooses a runner for a ticket and records the assignment.
+    instance_id
+    assign(run_ticket ticket, const node_directory& directory, steady_time now,
+           const std::optional<runner_preference>& preference = std::nullopt);
 
-    /// A runner has a ticket that another planner or choice gave it.
+    /// Records that a runner has a ticket that `assign` didn't give it.
     void adopt(run_ticket ticket, const instance_id& runner, steady_time now);
 
-    /// The runner of a ticket, or an empty id.
+    /// Returns the runner of a ticket, or an empty id.
     [[nodiscard]] instance_id runner_of(run_ticket ticket) const;
 
+    /// Removes the assignment of a ticket.
     void on_ended(run_ticket ticket);
 
-    /// A runner told of the tickets that it has. Returns those of its tickets
-    /// that it lacks although it must have got them.
+    /// A runner reported its active tickets. Returns the tickets assigned to it
+    /// that are missing there, except those that it may not have received yet.
     [[nodiscard]] std::vector<run_ticket>
-    on_news(const instance_id& runner, const std::set<run_ticket>& active,
-            steady_time now);
+    on_runner_update(const instance_id& runner,
+                     const std::set<run_ticket>& active, steady_time now);
 
-    /// Tickets of runners that fell silent.
-    [[nodiscard]] std::vector<run_ticket> take_lost(steady_time now);
+    /// Removes and returns the tickets of lost runners, which get no new runs
+    /// for a time.
+    [[nodiscard]] std::vector<run_ticket> take_lost_runs(steady_time now);
 
     [[nodiscard]] std::size_t assigned() const { return assignments_.size(); }
 
-    /// Other instances that have runs.
+    /// Returns the instances that have runs, without this one.
     [[nodiscard]] std::vector<instance_id> busy_runners() const;
 
 private:
@@ -91,19 +95,22 @@
 
     [[nodiscard]] bool is_paused(const instance_id& instance,
                                  steady_time now) const;
-    /// Share of its runs that an instance would carry with one more.
+    /// Load of an instance with one more run, as a share of its capacity.
     [[nodiscard]] double load_with_one_more(const node_entry& entry) const;
     [[nodiscard]] std::optional<instance_id>
-    choose_near(const node_directory& directory, const runner_wish& wish,
-                steady_time now) const;
+    choose_near(const node_directory& directory,
+                const runner_preference& preference, steady_time now) const;
     [[nodiscard]] instance_id
     choose_least_loaded(const node_directory& directory, steady_time now) const;
 
     runner_pool_options options_;
     std::map<run_ticket, assignment> assignments_;
+    /// Number of runs of each instance.
     std::map<instance_id, std::size_t> loads_;
+    /// Time of each runner's last message, or of its first assignment after it
+    /// had no runs.
     std::map<instance_id, steady_time> heard_at_;
-    /// Runners that fell silent get nothing until then.
+    /// End of the pause of each lost runner.
     std::map<instance_id, steady_time> not_before_;
 };
 
--- a/servers/control_server.hpp
+++ b/servers/control_server.hpp
@@ -31,7 +31,7 @@
     feed_push = 8,
     feed_beat = 9,
     feed_request = 10,
-    run_order = 11,
+    runner_command = 11,
     run_report = 12,
     store_call = 13,
     store_answer = 14,
--- a/servers/versions/version_roller.cpp
+++ b/servers/versions/version_roller.cpp
@@ -137,7 +137,7 @@
     model_views models;
     for (const auto& [model, wanted] : wanted_) {
         model_view view{.wanted = wanted,
-                        .least = work_.least_version(model),
+                        .least = work_.min_allowed_version(model),
                         .has_waiting = work_.has_waiting(model)};
         for (const auto& [id, progress] : upstreams_) {
             const auto held = progress.entry.versions.find(model);
--- a/servers/versions/version_roller.hpp
+++ b/servers/versions/version_roller.hpp
@@ -47,7 +47,7 @@
     runs_on(const upstream_id& upstream, const std::string& model) const = 0;
     /// The oldest version that all open jobs of the model allow; 0: any.
     [[nodiscard]] virtual weight_version
-    least_version(const std::string& model) const = 0;
+    min_allowed_version(const std::string& model) const = 0;
     /// Whether items of the model wait for a slot.
     [[nodiscard]] virtual bool has_waiting(const std::string& model) const = 0;
 };
--- a/tests/drivers/batch/run_host_test.cpp
+++ b/tests/drivers/batch/run_host_test.cpp
@@ -17,13 +17,13 @@
         , runner(client, scorers, fleet, log)
         , host(
               context, runner, instance_id("self"),
-              [this](const instance_id&, run_news one) {
+              [this](const instance_id&, runner_update one) {
                   news.push_back(std::move(one));
               },
               [this](const job_id& job) { return job == ended; }, log) {}
 
     void order(run_ticket ticket, const std::string& job) {
-        run_order one{.service = service_name("e"), .term = term};
+        runner_command one{.service = service_name("e"), .term = term};
         // Nothing listens at the address: a run that starts fails at once.
         one.tasks.push_back({.ticket = ticket,
                              .job = job_id(job),
@@ -42,7 +42,7 @@
     item_runner runner;
     job_id ended{"ended"};
     store_revision term = 1;
-    std::vector<run_news> news;
+    std::vector<runner_update> news;
     run_host host;
 };
 
--- a/tests/servers/batch/engine_roster_test.cpp
+++ b/tests/servers/batch/engine_roster_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Three engines of two slots.
+/// Three engines with two slots each.
 class engine_roster_test : public ::testing::Test {
 public:
     engine_roster_test()
@@ -20,19 +20,19 @@
         roster.set_upstreams(engines, 0, now);
     }
 
-    /// The engine of the next item, or an empty id.
+    /// Returns the engine chosen for the next item, or an empty id.
     upstream_id next(weight_version min_version = 0) {
-        const engine_need need{
+        const engine_requirements requirements{
             .model = model, .min_version = min_version, .avoid = avoid};
-        const rostered_engine* const engine = roster.choose(need, now);
-        return engine == nullptr ? upstream_id() : engine->entry.id;
+        const roster_entry* const engine = roster.choose(requirements, now);
+        return engine == nullptr ? upstream_id() : engine->listed_upstream.id;
     }
 
-    void measure(const char* name, std::chrono::milliseconds event) {
+    void record_speed(const char* name, std::chrono::milliseconds event) {
         for (int sample = 0; sample < 20; ++sample) {
-            roster.measure(upstream_id(name), 4, event * 4, now);
+            roster.record_speed(upstream_id(name), 4, event * 4, now);
         }
-        roster.review(now);
+        roster.update_typical_speed(now);
     }
 
     const std::string model = "m";
@@ -46,23 +46,23 @@
 } // namespace
 
 TEST_F(engine_roster_test, faster_engine_with_room_is_chosen) {
-    measure("a", 60ms);
-    measure("b", 30ms);
-    measure("c", 46ms);
+    record_speed("a", 60ms);
+    record_speed("b", 30ms);
+    record_speed("c", 46ms);
     EXPECT_EQ(next(), upstream_id("b"));
     roster.occupy(upstream_id("b"), model, 0);
     roster.occupy(upstream_id("b"), model, 0);
-    EXPECT_EQ(next(), upstream_id("c")) << "both slots of b are taken";
+    EXPECT_EQ(next(), upstream_id("c")) << "both slots of b are occupied";
 }
 
-TEST_F(engine_roster_test, engine_with_an_older_version_is_passed_by) {
+TEST_F(engine_roster_test, engine_with_an_older_version_is_skipped) {
     engines[1].versions["m"] = 5;
     roster.set_upstreams(engines, 0, now);
     EXPECT_EQ(next(4), upstream_id("b"));
     EXPECT_EQ(next(6), upstream_id());
 }
 
-TEST_F(engine_roster_test, loading_and_leaving_engines_take_nothing) {
+TEST_F(engine_roster_test, loading_and_leaving_engines_get_no_items) {
     loading.insert(upstream_id("a"));
     engines[1].is_draining = true;
     roster.set_upstreams(engines, 0, now);
@@ -71,38 +71,39 @@
 
 TEST_F(engine_roster_test, failing_engine_pauses_for_longer_each_time) {
     avoid = {upstream_id("b"), upstream_id("c")};
-    roster.set_aside(upstream_id("a"), now);
+    roster.pause_engine(upstream_id("a"), now);
     EXPECT_NE(next(), upstream_id("a"));
     now += 250ms;
     EXPECT_EQ(next(), upstream_id("a"));
-    roster.set_aside(upstream_id("a"), now);
+    roster.pause_engine(upstream_id("a"), now);
     now += 250ms;
     EXPECT_NE(next(), upstream_id("a"));
     now += 250ms;
     EXPECT_EQ(next(), upstream_id("a"));
 }
 
-// A fifth of the engines turns slow for 8 s: without new work their old speed
-// would stand for the rest of the day.
-TEST_F(engine_roster_test, engine_that_was_slow_is_tried_again) {
-    measure("a", 160ms);
-    measure("b", 46ms);
-    measure("c", 46ms);
+// Guards against engines that stay unused after a slow phase of 8 s: they get
+// no items, so no new measurement replaces the one from the slow phase.
+TEST_F(engine_roster_test, idle_slow_engine_is_tried_again_after_a_time) {
+    record_speed("a", 160ms);
+    record_speed("b", 46ms);
+    record_speed("c", 46ms);
     roster.occupy(upstream_id("b"), model, 0);
     EXPECT_EQ(next(), upstream_id("c"));
     roster.occupy(upstream_id("c"), model, 0);
     EXPECT_NE(next(), upstream_id("a"));
     now += 4s;
-    roster.review(now);
-    EXPECT_EQ(next(), upstream_id("a")) << "idle, and taken for typical again";
+    roster.update_typical_speed(now);
+    EXPECT_EQ(next(), upstream_id("a"))
+        << "an idle engine is assumed to have recovered";
 }
 
-TEST_F(engine_roster_test, slower_build_is_remembered) {
-    measure("a", 60ms);
-    measure("b", 46ms);
-    measure("c", 46ms);
+TEST_F(engine_roster_test, slower_engine_type_keeps_its_measured_speed) {
+    record_speed("a", 60ms);
+    record_speed("b", 46ms);
+    record_speed("c", 46ms);
     now += 1min;
-    roster.review(now);
+    roster.update_typical_speed(now);
     roster.occupy(upstream_id("b"), model, 0);
     roster.occupy(upstream_id("c"), model, 0);
     EXPECT_NE(next(), upstream_id("a"));
--- a/tests/servers/batch/item_planner_test.cpp
+++ b/tests/servers/batch/item_planner_test.cpp
@@ -11,8 +11,8 @@
 
 constexpr std::uint64_t tokens_per_event = 50;
 
-/// A planner with its term and some engines; carries commands out by noting
-/// them.
+/// A planner that holds its term, with some engines. Collects the commands
+/// without executing them.
 class item_planner_test : public ::testing::Test {
 public:
     item_planner_test()
@@ -22,7 +22,7 @@
         planner.on_term(true);
     }
 
-    void give_engines(std::size_t count, std::uint32_t slots) {
+    void set_engines(std::size_t count, std::uint32_t slots) {
         engines.clear();
         for (std::size_t at = 0; at < count; ++at) {
             engines.push_back({.id = upstream_id("e" + std::to_string(at)),
@@ -37,7 +37,8 @@
                              now);
     }
 
-    /// A job of groups; `events[g]` are the expected events of a group's items.
+    /// Makes a job of groups; `events[g]` are the expected numbers of events of
+    /// the items of group g.
     std::shared_ptr<const batch_job>
     make_job(const std::string& id, std::uint32_t target_groups,
              const std::vector<std::vector<std::uint64_t>>& events,
@@ -68,17 +69,17 @@
     void add_job(const std::shared_ptr<const batch_job>& job,
                  const std::vector<item_id>& listed = {},
                  const std::map<std::size_t, item_progress>& saved = {},
-                 job_terms terms = {}) {
+                 job_settings settings = {}) {
         planner.on_job({.id = job->id,
                         .total = static_cast<std::uint32_t>(job->items.size())},
-                       job, terms, listed, saved, now, now, commands);
+                       job, settings, listed, saved, now, now, commands);
         step();
     }
 
     void step() { planner.advance(now, commands); }
 
     template <class Command>
-    std::vector<Command> take() {
+    std::vector<Command> take_commands() {
         std::vector<Command> found;
         planner_commands rest;
         for (planner_command& command : commands) {
@@ -96,11 +97,11 @@
                 run_end end, const std::string& text = "t") {
         planner.on_run_ended({.ticket = ticket,
                               .end = end,
-                              .rest = {.ticket = ticket,
-                                       .base_events = base,
-                                       .events = events,
-                                       .text = text,
-                                       .versions = {1}}},
+                              .last_delta = {.ticket = ticket,
+                                             .base_events = base,
+                                             .events = events,
+                                             .text = text,
+                                             .versions = {1}}},
                              now);
         step();
     }
@@ -124,27 +125,27 @@
 } // namespace
 
 TEST_F(item_planner_test, burst_over_all_slots_starts_longest_wanted_first) {
-    give_engines(1, 2);
-    // The trainer waits for two of three groups: the one with the longest item
-    // goes last, although longest goes first among the others.
+    set_engines(1, 2);
+    // The trainer waits for two of three groups, so the group with the longest
+    // item starts last. Among the others, the longest item starts first.
     const auto job = make_job("j", 2, {{10}, {100}, {20}});
     add_job(job);
-    const auto started = take<start_run>();
+    const auto started = take_commands<start_run>();
     ASSERT_EQ(started.size(), 2U);
     EXPECT_EQ(job->items[started[0].item].id, item_id("g2i0"));
     EXPECT_EQ(job->items[started[1].item].id, item_id("g0i0"));
     report(started[0].ticket, 0, 20, run_end::complete);
-    const auto next = take<start_run>();
+    const auto next = take_commands<start_run>();
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(job->items[next[0].item].id, item_id("g1i0"));
 }
 
 TEST_F(item_planner_test, more_items_than_slots_never_queue_at_engines) {
-    give_engines(3, 4);
+    set_engines(3, 4);
     add_job(make_job(
         "j", 0, std::vector<std::vector<std::uint64_t>>(10, {5, 5, 5, 5})));
     std::map<upstream_id, std::size_t> placed;
-    for (const start_run& run : take<start_run>()) {
+    for (const start_run& run : take_commands<start_run>()) {
         ++placed[run.upstream];
     }
     ASSERT_EQ(placed.size(), 3U);
@@ -155,96 +156,97 @@
 }
 
 TEST_F(item_planner_test, scarce_slots_go_to_the_more_urgent_route) {
-    give_engines(1, 1);
+    set_engines(1, 1);
     add_job(make_job("a", 0, {{5}}));
-    EXPECT_EQ(take<start_run>()[0].job->id, job_id("a"));
+    EXPECT_EQ(take_commands<start_run>()[0].job->id, job_id("a"));
     add_job(make_job("b", 0, {{5}}), {}, {}, {.target = 1s, .priority = 1});
     add_job(make_job("c", 0, {{5}}), {}, {}, {.target = 9s, .priority = 0});
     now += 1ms;
     planner.on_job_ended(job_id("a"), commands);
     step();
-    const auto next = take<start_run>();
+    const auto next = take_commands<start_run>();
     ASSERT_EQ(next.size(), 1U);
     EXPECT_EQ(next[0].job->id, job_id("c"));
 }
 
-// A planner whose store calls were refused placed an item on an upstream that
-// had announced its leave two seconds before (DRAIN on a fresh day).
-TEST_F(item_planner_test, stale_news_of_the_fleet_start_nothing) {
-    give_engines(1, 2);
-    planner.set_informed(false);
+// Guards against new runs on an upstream that is leaving: a planner whose store
+// calls were refused used an upstream two seconds after its announcement.
+TEST_F(item_planner_test, stale_fleet_data_starts_nothing) {
+    set_engines(1, 2);
+    planner.set_fleet_data_current(false);
     add_job(make_job("j", 0, {{5}}));
-    EXPECT_TRUE(take<start_run>().empty());
+    EXPECT_TRUE(take_commands<start_run>().empty());
     ASSERT_TRUE(planner.next_wakeup());
-    planner.set_informed(true);
+    planner.set_fleet_data_current(true);
     step();
-    EXPECT_EQ(take<start_run>().size(), 1U);
+    EXPECT_EQ(take_commands<start_run>().size(), 1U);
 }
 
 TEST_F(item_planner_test, full_cache_keeps_items_waiting) {
-    give_engines(1, 8);
+    set_engines(1, 8);
     planner.on_upstreams(
         engines, {.cache_tokens = 1'000, .tokens_per_event = tokens_per_event},
         now);
     add_job(make_job("j", 0, {{8, 8, 8}}));
-    // Each needs 410 tokens of the 900 that may be planned.
-    EXPECT_EQ(take<start_run>().size(), 2U);
+    // Each item needs 410 of the 900 tokens that planned items may use.
+    EXPECT_EQ(take_commands<start_run>().size(), 2U);
 }
 
-TEST_F(item_planner_test, interrupted_run_goes_on_behind_its_last_event) {
-    give_engines(2, 1);
+TEST_F(item_planner_test, interrupted_run_resumes_after_its_last_event) {
+    set_engines(2, 1);
     add_job(make_job("j", 0, {{50}}));
-    const auto first = take<start_run>();
+    const auto first = take_commands<start_run>();
     ASSERT_EQ(first.size(), 1U);
     report(first[0].ticket, 0, 7, run_end::interrupted);
-    const auto second = take<start_run>();
+    const auto second = take_commands<start_run>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_EQ(second[0].progress.events, 7U);
     EXPECT_EQ(second[0].progress.versions.back(), 1U);
     EXPECT_NE(second[0].upstream, first[0].upstream)
-        << "an engine that broke off is set aside";
+        << "an engine that broke the stream is paused";
 }
 
-TEST_F(item_planner_test, missing_events_of_a_finished_run_are_run_again) {
-    give_engines(1, 1);
+TEST_F(item_planner_test,
+       missing_events_of_a_finished_run_are_generated_again) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{50}}));
-    const auto first = take<start_run>();
+    const auto first = take_commands<start_run>();
     progress(first[0].ticket, 0, 5);
-    // The report on events 6 to 8 was lost between instances.
+    // The report of events 6 to 8 was lost between instances.
     now += 100ms;
     report(first[0].ticket, 8, 12, run_end::complete);
     now += 10s;
     step();
-    const auto again = take<start_run>();
+    const auto again = take_commands<start_run>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].progress.events, 5U);
-    EXPECT_TRUE(take<commit_results>().empty());
+    EXPECT_TRUE(take_commands<commit_results>().empty());
 }
 
-TEST_F(item_planner_test, silent_run_is_taken_off_unless_its_engine_loads) {
-    give_engines(2, 1);
+TEST_F(item_planner_test, silent_run_is_stopped_unless_its_engine_loads) {
+    set_engines(2, 1);
     add_job(make_job("j", 0, {{50}}));
-    const auto first = take<start_run>();
+    const auto first = take_commands<start_run>();
     ASSERT_EQ(first.size(), 1U);
     progress(first[0].ticket, 0, 3);
     loading.insert(first[0].upstream);
     now += 1'100ms;
     step();
-    EXPECT_TRUE(take<stop_run>().empty());
+    EXPECT_TRUE(take_commands<stop_run>().empty());
     loading.clear();
     now += 1'100ms;
     step();
-    const auto stopped = take<stop_run>();
+    const auto stopped = take_commands<stop_run>();
     ASSERT_EQ(stopped.size(), 1U);
     EXPECT_EQ(stopped[0].ticket, first[0].ticket);
 }
 
 TEST_F(item_planner_test, long_item_moves_off_a_slow_engine_once_slots_free) {
-    give_engines(2, 1);
+    set_engines(2, 1);
     add_job(make_job("j", 0, {{400, 60}}));
-    auto runs = take<start_run>();
+    auto runs = take_commands<start_run>();
     ASSERT_EQ(runs.size(), 2U);
-    // The engine of the long item makes an event in 60 ms, the other in 30.
+    // The engine of the long item takes 60 ms per event, the other one 30 ms.
     std::uint64_t events = 0;
     for (int round = 0; round < 4; ++round) {
         now += 600ms;
@@ -252,85 +254,87 @@
         progress(runs[1].ticket, events * 2, (events + 10) * 2);
         events += 10;
         step();
-        EXPECT_TRUE(take<stop_run>().empty());
+        EXPECT_TRUE(take_commands<stop_run>().empty());
     }
     report(runs[1].ticket, events * 2, events * 2 + 1, run_end::complete);
     now += 300ms;
     step();
-    const auto moved = take<stop_run>();
+    const auto moved = take_commands<stop_run>();
     ASSERT_EQ(moved.size(), 1U);
     EXPECT_EQ(moved[0].ticket, runs[0].ticket);
     report(runs[0].ticket, events, events, run_end::stopped);
-    const auto resumed = take<start_run>();
+    const auto resumed = take_commands<start_run>();
     ASSERT_EQ(resumed.size(), 1U);
     EXPECT_EQ(resumed[0].upstream, runs[1].upstream);
     EXPECT_EQ(resumed[0].progress.events, events);
 }
 
-TEST_F(item_planner_test, few_events_of_an_engine_move_nothing) {
-    give_engines(2, 2);
+TEST_F(item_planner_test, too_few_measured_events_move_nothing) {
+    set_engines(2, 2);
     add_job(make_job("j", 0, {{400, 400}}));
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     for (const std::uint64_t round : {0U, 1U}) {
         now += 300ms;
         progress(runs[0].ticket, round * 2, round * 2 + 2);
         progress(runs[1].ticket, round * 9, round * 9 + 9);
         step();
     }
-    EXPECT_TRUE(take<stop_run>().empty());
+    EXPECT_TRUE(take_commands<stop_run>().empty());
 }
 
 TEST_F(item_planner_test, engine_with_an_older_version_gets_no_item) {
-    give_engines(2, 1);
+    set_engines(2, 1);
     engines[0].versions["m"] = 2;
     planner.on_upstreams(engines, {.tokens_per_event = tokens_per_event}, now);
     add_job(make_job("j", 0, {{5, 5}}, 2));
-    const auto started = take<start_run>();
+    const auto started = take_commands<start_run>();
     ASSERT_EQ(started.size(), 1U);
     EXPECT_EQ(started[0].upstream, engines[0].id);
 }
 
 TEST_F(item_planner_test, results_wait_for_each_other_then_are_listed_once) {
-    give_engines(1, 4);
+    set_engines(1, 4);
     add_job(make_job("j", 0, {{5, 5, 5, 5}}));
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     report(runs[0].ticket, 0, 5, run_end::complete);
-    auto commits = take<commit_results>();
+    auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_EQ(commits[0].first_position, 0U);
     planner.on_committed(job_id("j"), commits[0].number, commit_end::listed,
                          now, commands);
     report(runs[1].ticket, 0, 5, run_end::complete);
     report(runs[2].ticket, 0, 5, run_end::complete);
-    EXPECT_TRUE(take<commit_results>().empty());
+    EXPECT_TRUE(take_commands<commit_results>().empty());
     now += 999ms;
     step();
-    EXPECT_TRUE(take<commit_results>().empty()) << "their group is open";
+    EXPECT_TRUE(take_commands<commit_results>().empty())
+        << "their group is still open";
     now += 1ms;
     step();
-    commits = take<commit_results>();
+    commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_EQ(commits[0].first_position, 1U);
     EXPECT_EQ(commits[0].results.size(), 2U);
 }
 
-TEST_F(item_planner_test, refused_commit_is_tried_again_at_its_position) {
-    give_engines(1, 1);
+TEST_F(item_planner_test, refused_commit_is_retried_at_its_position) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{5}}));
-    report(take<start_run>()[0].ticket, 0, 5, run_end::complete);
-    const auto first = take<commit_results>();
+    report(take_commands<start_run>()[0].ticket, 0, 5, run_end::complete);
+    const auto first = take_commands<commit_results>();
     planner.on_committed(job_id("j"), first[0].number, commit_end::not_listed,
                          now, commands);
-    // A refusing store is asked again after a pause, also for the last
-    // results (incident inc-5a0b: a try each 20 ms).
+    // The retry must wait also for the last results of a job, which are
+    // otherwise committed at once. Without the delay, a store that refused
+    // writes got a retry every 20 ms.
     step();
-    EXPECT_TRUE(take<commit_results>().empty());
-    // A late report on the older try changes nothing.
+    EXPECT_TRUE(take_commands<commit_results>().empty());
     now += 220ms;
     step();
-    const auto second = take<commit_results>();
+    const auto second = take_commands<commit_results>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_EQ(second[0].first_position, 0U);
+    // A late report about the first attempt is ignored.
     planner.on_committed(job_id("j"), first[0].number, commit_end::listed, now,
                          commands);
     EXPECT_TRUE(planner.has_job(job_id("j")));
@@ -340,54 +344,55 @@
 }
 
 TEST_F(item_planner_test, lost_term_lists_nothing_but_keeps_results) {
-    give_engines(1, 1);
+    set_engines(1, 1);
     const auto job = make_job("j", 0, {{5, 5}});
     add_job(job);
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     planner.on_term(false);
     report(runs[0].ticket, 0, 5, run_end::complete);
-    EXPECT_TRUE(take<commit_results>().empty());
-    EXPECT_TRUE(take<start_run>().empty());
+    EXPECT_TRUE(take_commands<commit_results>().empty());
+    EXPECT_TRUE(take_commands<start_run>().empty());
     planner.on_term(true);
     step();
-    EXPECT_TRUE(take<commit_results>().empty()) << "nothing is confirmed yet";
+    EXPECT_TRUE(take_commands<commit_results>().empty())
+        << "the job isn't confirmed yet";
     add_job(job);
-    EXPECT_EQ(take<commit_results>().size(), 1U);
+    EXPECT_EQ(take_commands<commit_results>().size(), 1U);
 }
 
 TEST_F(item_planner_test, result_listed_by_another_planner_is_not_repeated) {
-    give_engines(1, 2);
+    set_engines(1, 2);
     const auto job = make_job("j", 0, {{5, 5}});
     add_job(job);
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     report(runs[0].ticket, 0, 5, run_end::complete);
-    const auto lost = take<commit_results>();
+    const auto lost = take_commands<commit_results>();
     ASSERT_EQ(lost.size(), 1U);
     planner.on_committed(job_id("j"), lost[0].number, commit_end::superseded,
                          now, commands);
-    // The write took effect late after all: position 0 has the item.
+    // The write took effect late: the item is listed at position 0.
     add_job(job, {job->items[runs[0].item].id});
-    EXPECT_TRUE(take<commit_results>().empty());
+    EXPECT_TRUE(take_commands<commit_results>().empty());
     report(runs[1].ticket, 0, 5, run_end::complete);
     now += 220ms;
     step();
-    const auto commits = take<commit_results>();
+    const auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_EQ(commits[0].first_position, 1U);
 }
 
-TEST_F(item_planner_test, ended_job_stops_runs_and_carries_texts_on) {
-    give_engines(1, 2);
+TEST_F(item_planner_test, ended_job_stops_runs_and_retains_texts) {
+    set_engines(1, 2);
     const auto first = make_job("j", 0, {{50, 50}});
     add_job(first);
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     progress(runs[0].ticket, 0, 9);
     planner.on_job_ended(job_id("j"), commands);
-    EXPECT_EQ(take<stop_run>().size(), 2U);
-    // The unfinished group comes again in the next job.
+    EXPECT_EQ(take_commands<stop_run>().size(), 2U);
+    // The next job submits the incomplete group again.
     const auto second = make_job("k", 0, {{50, 50}});
     add_job(second);
-    const auto again = take<start_run>();
+    const auto again = take_commands<start_run>();
     ASSERT_EQ(again.size(), 2U);
     std::multiset<std::uint64_t> after;
     for (const start_run& run : again) {
@@ -396,126 +401,130 @@
     EXPECT_EQ(after, (std::multiset<std::uint64_t>{0, 9}));
 }
 
-TEST_F(item_planner_test, carried_text_of_a_too_old_version_is_made_anew) {
-    give_engines(1, 1);
+TEST_F(item_planner_test,
+       retained_text_of_a_too_old_version_is_generated_again) {
+    set_engines(1, 1);
     engines[0].versions["m"] = 5;
     planner.on_upstreams(engines, {.tokens_per_event = tokens_per_event}, now);
     add_job(make_job("j", 0, {{50}}));
-    progress(take<start_run>()[0].ticket, 0, 9);
+    progress(take_commands<start_run>()[0].ticket, 0, 9);
     planner.on_job_ended(job_id("j"), commands);
     add_job(make_job("k", 0, {{50}}, 2));
-    EXPECT_EQ(take<start_run>()[0].progress.events, 0U);
+    EXPECT_EQ(take_commands<start_run>()[0].progress.events, 0U);
 }
 
-TEST_F(item_planner_test, new_planner_goes_on_from_saved_texts) {
-    give_engines(1, 1);
+TEST_F(item_planner_test, new_planner_resumes_from_saved_texts) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{50}}), {},
             {{0, {.text = "a\nb", .events = 2, .versions = {1}}}});
-    EXPECT_EQ(take<start_run>()[0].progress.events, 2U);
+    EXPECT_EQ(take_commands<start_run>()[0].progress.events, 2U);
 }
 
 TEST_F(item_planner_test, long_text_is_saved_in_parts_that_join) {
-    give_engines(1, 1);
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{100}}));
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     progress(runs[0].ticket, 0, 20);
     now += 2s;
     step();
-    auto saved = take<save_progress>();
+    auto saved = take_commands<save_progress>();
     ASSERT_EQ(saved.size(), 1U);
     EXPECT_EQ(saved[0].parts[0].base_events, 0U);
     EXPECT_EQ(saved[0].parts[0].events, 20U);
     progress(runs[0].ticket, 20, 40);
     now += 2s;
     step();
-    saved = take<save_progress>();
+    saved = take_commands<save_progress>();
     ASSERT_EQ(saved.size(), 1U);
     EXPECT_EQ(saved[0].parts[0].base_events, 20U);
     EXPECT_EQ(saved[0].parts[0].text, "t");
 }
 
-TEST_F(item_planner_test, scorer_keeps_slots_for_callers) {
-    give_engines(2, 8);
+TEST_F(item_planner_test, scoring_leaves_slots_for_callers) {
+    set_engines(2, 8);
     add_job(make_job("j", 0, {{5, 5, 5, 5, 5, 5, 5, 5}}, 0, true));
-    for (const start_run& run : take<start_run>()) {
+    for (const start_run& run : take_commands<start_run>()) {
         report(run.ticket, 0, 5, run_end::complete);
     }
-    const auto scoring = take<start_scoring>();
+    const auto scoring = take_commands<start_scoring>();
     EXPECT_EQ(scoring.size(), 4U);
     planner.on_scored({.ticket = scoring[0].ticket, .score = "x"});
     step();
-    EXPECT_EQ(take<start_scoring>().size(), 1U);
+    EXPECT_EQ(take_commands<start_scoring>().size(), 1U);
 }
 
-TEST_F(item_planner_test, engine_failures_end_in_a_lost_item) {
-    give_engines(1, 1);
+TEST_F(item_planner_test, item_that_failed_max_attempts_times_is_given_up) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{5}}), {}, {}, {.max_attempts = 2});
-    report(take<start_run>()[0].ticket, 0, 0, run_end::failed);
-    const auto second = take<start_run>();
+    report(take_commands<start_run>()[0].ticket, 0, 0, run_end::failed);
+    const auto second = take_commands<start_run>();
     ASSERT_EQ(second.size(), 1U);
     report(second[0].ticket, 0, 0, run_end::failed);
-    EXPECT_TRUE(take<start_run>().empty());
-    const auto commits = take<commit_results>();
+    EXPECT_TRUE(take_commands<start_run>().empty());
+    const auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_FALSE(commits[0].results[0].is_completed);
 }
 
-TEST_F(item_planner_test, expired_items_are_listed_as_lost) {
-    give_engines(1, 1);
+TEST_F(item_planner_test, expired_items_are_listed_as_given_up) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{5, 5}}), {}, {}, {.time_to_live = 3s});
     now += 3s;
     step();
-    const auto commits = take<commit_results>();
+    const auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
-    EXPECT_EQ(commits[0].results.size(), 1U) << "the other one still runs";
+    EXPECT_EQ(commits[0].results.size(), 1U)
+        << "the other item is still running";
 }
 
-TEST_F(item_planner_test, lost_runner_keeps_what_it_reported) {
-    give_engines(1, 1);
+TEST_F(item_planner_test, text_reported_by_a_lost_runner_is_kept) {
+    set_engines(1, 1);
     add_job(make_job("j", 0, {{50}}));
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     progress(runs[0].ticket, 0, 6);
     planner.on_run_lost(runs[0].ticket, now);
     step();
-    const auto again = take<start_run>();
+    const auto again = take_commands<start_run>();
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(again[0].progress.events, 6U);
 }
 
-// A load of weights holds a run up for a second, a long item by as much as it
-// may be late.
-TEST_F(item_planner_test, run_leaves_an_engine_that_begins_to_load) {
-    give_engines(2, 1);
+// Guards against runs that stay on an engine while it loads weights. The load
+// delays a run by a second, which makes a long item miss its target.
+TEST_F(item_planner_test, run_moves_off_an_engine_that_begins_to_load) {
+    set_engines(2, 1);
     add_job(make_job("j", 0, {{50}}));
-    const auto first = take<start_run>();
+    const auto first = take_commands<start_run>();
     ASSERT_EQ(first.size(), 1U);
     progress(first[0].ticket, 0, 9);
     loading.insert(first[0].upstream);
     planner.on_loading(first[0].upstream, "m", now, commands);
-    ASSERT_EQ(take<stop_run>().size(), 1U);
+    ASSERT_EQ(take_commands<stop_run>().size(), 1U);
     report(first[0].ticket, 9, 9, run_end::stopped);
-    const auto second = take<start_run>();
+    const auto second = take_commands<start_run>();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_NE(second[0].upstream, first[0].upstream);
     EXPECT_EQ(second[0].progress.events, 9U);
 }
 
 TEST_F(item_planner_test, run_stays_on_a_loading_engine_if_there_is_no_other) {
-    give_engines(2, 1);
+    set_engines(2, 1);
     add_job(make_job("j", 0, {{50}, {50}}));
-    const auto runs = take<start_run>();
+    const auto runs = take_commands<start_run>();
     ASSERT_EQ(runs.size(), 2U);
     loading.insert(runs[0].upstream);
     planner.on_loading(runs[0].upstream, "m", now, commands);
-    EXPECT_TRUE(take<stop_run>().empty());
+    EXPECT_TRUE(take_commands<stop_run>().empty());
 }
 
-// A trainer uses a group once it is whole: results of open groups wait for
-// each other, which halved the writes of a job.
-TEST_F(item_planner_test, whole_group_is_listed_before_results_of_open_groups) {
-    give_engines(1, 4);
+// A trainer uses a group once it is complete, so a complete group is listed at
+// once. Results of incomplete groups wait and share a write, which halves the
+// writes of a job.
+TEST_F(item_planner_test,
+       results_of_incomplete_groups_wait_for_a_complete_group) {
+    set_engines(1, 4);
     add_job(make_job("j", 0, {{9, 9}, {9, 9, 9}}));
-    auto runs = take<start_run>();
+    auto runs = take_commands<start_run>();
     ASSERT_EQ(runs.size(), 4U);
     std::map<std::string, std::vector<run_ticket>> tickets;
     for (const start_run& run : runs) {
@@ -523,27 +532,28 @@
     }
     now += 10s;
     report(tickets["g1"][0], 0, 9, run_end::complete);
-    auto commits = take<commit_results>();
+    auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     planner.on_committed(job_id("j"), commits[0].number, commit_end::listed,
                          now, commands);
     now += 100ms;
     report(tickets["g1"][1], 0, 9, run_end::complete);
-    EXPECT_TRUE(take<commit_results>().empty()) << "its group is open";
+    EXPECT_TRUE(take_commands<commit_results>().empty())
+        << "its group is still open";
     report(tickets["g0"][0], 0, 9, run_end::complete);
     report(tickets["g0"][1], 0, 9, run_end::complete);
-    commits = take<commit_results>();
+    commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_EQ(commits[0].results.size(), 3U);
 }
 
 namespace {
 
-/// A planner whose term follows another one's.
+/// A planner that takes over the term from another planner.
 class planner_takeover_test : public item_planner_test {
 public:
     planner_takeover_test() {
-        give_engines(2, 2);
+        set_engines(2, 2);
         planner.begin_adoption(now);
     }
 
@@ -561,16 +571,18 @@
 
 } // namespace
 
-// A planner's death cost its successor all texts since the last save, seconds
-// of each long item (an item of 7 s is due in 8.2).
-TEST_F(planner_takeover_test, held_run_goes_on_under_the_new_planner) {
+// Guards against the loss of text when a planner fails: its successor had only
+// the saved texts and repeated seconds of each long item, although an item that
+// takes 7 s is due after 8.2 s.
+TEST_F(planner_takeover_test, held_run_continues_under_the_new_planner) {
     const auto job = make_job("j", 0, {{50, 50}});
-    planner.on_held(held(900, *job, 1, 30), now, commands);
+    planner.on_held_run(held(900, *job, 1, 30), now, commands);
     add_job(job);
-    EXPECT_TRUE(take<start_run>().empty()) << "others may hold the rest";
+    EXPECT_TRUE(take_commands<start_run>().empty())
+        << "other instances may hold runs of the other items";
     planner.end_adoption();
     step();
-    const auto started = take<start_run>();
+    const auto started = take_commands<start_run>();
     ASSERT_EQ(started.size(), 1U);
     EXPECT_EQ(started[0].item, 0U);
     EXPECT_EQ(planner.runs_on(engines[0].id, "m") +
@@ -578,18 +590,18 @@
               2U);
     report(900, 30, 50, run_end::complete);
     report(started[0].ticket, 0, 50, run_end::complete);
-    const auto commits = take<commit_results>();
+    const auto commits = take_commands<commit_results>();
     ASSERT_FALSE(commits.empty());
     EXPECT_EQ(commits[0].results[0].text, "text\nt");
 }
 
-TEST_F(planner_takeover_test, silent_instances_hold_a_new_planner_up_briefly) {
+TEST_F(planner_takeover_test, silent_instances_delay_a_new_planner_briefly) {
     add_job(make_job("j", 0, {{50}}));
-    EXPECT_TRUE(take<start_run>().empty());
+    EXPECT_TRUE(take_commands<start_run>().empty());
     ASSERT_TRUE(planner.next_wakeup());
     now = *planner.next_wakeup();
     step();
-    EXPECT_EQ(take<start_run>().size(), 1U);
+    EXPECT_EQ(take_commands<start_run>().size(), 1U);
     EXPECT_LE(now, steady_time{1h} + 500ms);
 }
 
@@ -603,31 +615,31 @@
                    .is_scoring = true,
                    .has_ended = true,
                    .score = "good"};
-    // The score may be told before its text.
-    planner.on_held(score, now, commands);
-    planner.on_held(text, now, commands);
+    // The score may be reported before its text.
+    planner.on_held_run(score, now, commands);
+    planner.on_held_run(text, now, commands);
     add_job(job);
     planner.end_adoption();
     step();
-    EXPECT_TRUE(take<start_run>().empty());
-    EXPECT_TRUE(take<start_scoring>().empty());
-    const auto commits = take<commit_results>();
+    EXPECT_TRUE(take_commands<start_run>().empty());
+    EXPECT_TRUE(take_commands<start_scoring>().empty());
+    const auto commits = take_commands<commit_results>();
     ASSERT_EQ(commits.size(), 1U);
     EXPECT_EQ(commits[0].results[0].score, "good");
     planner.on_committed(job->id, commits[0].number, commit_end::listed, now,
                          commands);
-    EXPECT_EQ(take<release_run>().size(), 2U);
+    EXPECT_EQ(take_commands<release_run>().size(), 2U);
 }
 
 TEST_F(planner_takeover_test, item_held_twice_is_run_once) {
     const auto job = make_job("j", 0, {{50}});
-    planner.on_held(held(900, *job, 0, 30), now, commands);
-    planner.on_held(held(901, *job, 0, 20), now, commands);
+    planner.on_held_run(held(900, *job, 0, 30), now, commands);
+    planner.on_held_run(held(901, *job, 0, 20), now, commands);
     add_job(job);
     planner.end_adoption();
     step();
-    EXPECT_TRUE(take<start_run>().empty());
-    const auto stopped = take<stop_run>();
+    EXPECT_TRUE(take_commands<start_run>().empty());
+    const auto stopped = take_commands<stop_run>();
     ASSERT_EQ(stopped.size(), 1U);
     EXPECT_EQ(stopped[0].ticket, 901U);
 }
@@ -635,22 +647,23 @@
 TEST_F(planner_takeover_test, held_run_of_a_listed_item_is_stopped) {
     const auto job = make_job("j", 0, {{50, 50}});
     add_job(job, {job->items[0].id});
-    planner.on_held(held(900, *job, 0, 30), now, commands);
-    const auto stopped = take<stop_run>();
+    planner.on_held_run(held(900, *job, 0, 30), now, commands);
+    const auto stopped = take_commands<stop_run>();
     ASSERT_EQ(stopped.size(), 1U);
     EXPECT_EQ(stopped[0].ticket, 900U);
 }
 
-TEST_F(planner_takeover_test, text_under_a_version_too_old_is_made_anew) {
+TEST_F(planner_takeover_test,
+       held_text_of_a_too_old_version_is_generated_again) {
     engines[1].versions["m"] = 5;
     planner.on_upstreams(engines, {.tokens_per_event = tokens_per_event}, now);
     const auto job = make_job("j", 0, {{50}}, 5);
-    planner.on_held(held(900, *job, 0, 30), now, commands);
+    planner.on_held_run(held(900, *job, 0, 30), now, commands);
     add_job(job);
     planner.end_adoption();
     step();
-    EXPECT_EQ(take<stop_run>().size(), 1U);
-    const auto started = take<start_run>();
+    EXPECT_EQ(take_commands<stop_run>().size(), 1U);
+    const auto started = take_commands<start_run>();
     ASSERT_EQ(started.size(), 1U);
     EXPECT_EQ(started[0].progress.events, 0U);
 }
--- a/tests/servers/batch/runner_pool_test.cpp
+++ b/tests/servers/batch/runner_pool_test.cpp
@@ -51,7 +51,7 @@
 TEST_F(runner_pool_test, silent_runner_loses_its_runs_and_gets_no_new_ones) {
     assign(120);
     now += 2s;
-    const auto lost = pool.take_lost(now);
+    const auto lost = pool.take_lost_runs(now);
     EXPECT_FALSE(lost.empty());
     for (const run_ticket ticket : lost) {
         EXPECT_TRUE(pool.runner_of(ticket).is_empty());
@@ -68,15 +68,15 @@
         }
     }
     ASSERT_NE(remote, 0U);
-    // The order may be on its way at first.
-    EXPECT_TRUE(pool.on_news(instance_id("n1"), {}, now + 1s).empty());
-    const auto missing = pool.on_news(instance_id("n1"), {}, now + 2s);
+    // At first the command may still be in transit to the runner.
+    EXPECT_TRUE(pool.on_runner_update(instance_id("n1"), {}, now + 1s).empty());
+    const auto missing = pool.on_runner_update(instance_id("n1"), {}, now + 2s);
     EXPECT_NE(std::find(missing.begin(), missing.end(), remote), missing.end());
 }
 
 namespace {
 
-/// Two zones with a large and two small instances each.
+/// Two zones, each with one large and two small instances.
 class runner_pool_zone_test : public runner_pool_test {
 public:
     runner_pool_zone_test() {
@@ -92,16 +92,18 @@
     }
 
     instance_id assign_to(const char* zone, const char* upstream) {
-        return pool.assign(next++, directory, now,
-                           runner_wish{.zone = availability_zone(zone),
-                                       .upstream = upstream_id(upstream)});
+        return pool.assign(
+            next++, directory, now,
+            runner_preference{.zone = availability_zone(zone),
+                              .upstream = upstream_id(upstream)});
     }
 };
 
 } // namespace
 
-// 3,006 connections for 6,630 requests on a quiet day of the larger site: each
-// run went to another instance, which had none to its engine.
+// Guards against a new connection for every other run: runs of an engine went
+// to different instances, which had no connection to it (3,006 connections for
+// 6,630 requests).
 TEST_F(runner_pool_zone_test, runs_of_an_engine_share_an_instance_of_its_zone) {
     for (int run = 0; run < 6; ++run) {
         EXPECT_EQ(assign_to("z1", "e"), instance_id("z1large"));
@@ -118,7 +120,8 @@
     EXPECT_EQ(runners.size(), 2U);
 }
 
-TEST_F(runner_pool_zone_test, full_instance_near_yields_to_others) {
+TEST_F(runner_pool_zone_test,
+       runs_beyond_the_near_share_go_to_other_instances) {
     std::set<instance_id> runners;
     for (int run = 0; run < 100; ++run) {
         runners.insert(assign_to("z1", "e"));
@@ -126,9 +129,9 @@
     EXPECT_GT(runners.size(), 2U);
 }
 
-TEST_F(runner_pool_zone_test, silent_instance_near_is_left_for_another) {
+TEST_F(runner_pool_zone_test, silent_near_instance_is_replaced_by_another) {
     ASSERT_EQ(assign_to("z1", "e"), instance_id("z1large"));
     now += 2s;
-    EXPECT_EQ(pool.take_lost(now).size(), 1U);
+    EXPECT_EQ(pool.take_lost_runs(now).size(), 1U);
     EXPECT_NE(assign_to("z1", "e"), instance_id("z1large"));
 }
--- a/tests/servers/versions/version_roller_test.cpp
+++ b/tests/servers/versions/version_roller_test.cpp
@@ -16,7 +16,7 @@
         const auto found = runs.find(upstream);
         return found == runs.end() ? 0 : found->second;
     }
-    weight_version least_version(const std::string&) const override {
+    weight_version min_allowed_version(const std::string&) const override {
         return least;
     }
     bool has_waiting(const std::string&) const override { return is_waiting; }
@@ -238,7 +238,8 @@
         const auto found = runs.find({upstream, model});
         return found == runs.end() ? 0 : found->second;
     }
-    weight_version least_version(const std::string& model) const override {
+    weight_version
+    min_allowed_version(const std::string& model) const override {
         const auto found = least.find(model);
         return found == least.end() ? 0 : found->second;
     }
@@ -299,7 +300,8 @@
     std::size_t usable(const std::string& model) const {
         std::size_t count = 0;
         for (const upstream_entry& engine : engines) {
-            count += engine.versions.at(model) >= work.least_version(model);
+            count +=
+                engine.versions.at(model) >= work.min_allowed_version(model);
         }
         return count;
     }
@@ -366,7 +368,7 @@
     for (const upstream_entry& engine : engines) {
         std::size_t models = 0;
         for (const auto& [model, version] : engine.versions) {
-            models += version >= work.least_version(model) ? 1 : 0;
+            models += version >= work.min_allowed_version(model) ? 1 : 0;
         }
         EXPECT_LE(models, 3U) << engine.id.text();
     }
