--- a/drivers/batch/engine_driver.cpp
+++ b/drivers/batch/engine_driver.cpp
@@ -110,7 +110,7 @@
     mailbox_.post([this, is_informed = is_informed_(), step = std::move(step)] {
         const steady_time now = std::chrono::steady_clock::now();
         auto commands = std::make_shared<engine_commands>();
-        control_.planner().set_informed(is_informed);
+        control_.planner().set_fleet_data_current(is_informed);
         step(control_, now, *commands);
         control_.advance(now, *commands);
         const auto wakeup = control_.next_wakeup();
@@ -183,7 +183,7 @@
         [held = std::move(held), is_complete = unanswered_takeovers_.empty()](
             engine_control& control, steady_time at, engine_commands& out) {
             for (const held_run& one : held) {
-                control.planner().on_held(one, at, out.planner);
+                control.planner().on_held_run(one, at, out.planner);
             }
             if (is_complete) {
                 control.planner().end_adoption();
@@ -220,8 +220,8 @@
     return record.service == options_.service;
 }
 
-job_terms engine_driver::terms_of(const job_record& record) const {
-    job_terms terms;
+job_settings engine_driver::job_settings_of(const job_record& record) const {
+    job_settings terms;
     if (!fleet_.routes) {
         return terms;
     }
@@ -296,9 +296,9 @@
             continue;
         }
         post_step([record, accepted, saved, loaded = std::move(*loaded),
-                   terms = terms_of(record)](engine_control& control,
-                                             steady_time now,
-                                             engine_commands& out) {
+                   terms = job_settings_of(record)](engine_control& control,
+                                                    steady_time now,
+                                                    engine_commands& out) {
             control.planner().on_job(record, loaded.job, terms, loaded.listed,
                                      saved, accepted, now, out.planner);
         });
@@ -314,7 +314,7 @@
             own.push_back(entry);
         }
     }
-    engine_terms terms;
+    engine_settings terms;
     std::size_t scoring_slots = 0;
     if (fleet_.routes) {
         const service_rule* const rule =
@@ -404,9 +404,10 @@
 
 void engine_driver::execute_one(start_run& command) {
     const upstream_entry* const upstream = find_upstream(command.upstream);
-    std::optional<runner_wish> wish;
+    std::optional<runner_preference> wish;
     if (upstream != nullptr) {
-        wish = runner_wish{.zone = upstream->zone, .upstream = upstream->id};
+        wish =
+            runner_preference{.zone = upstream->zone, .upstream = upstream->id};
     }
     const instance_id runner = runners_.assign(
         command.ticket, directory_, std::chrono::steady_clock::now(), wish);
@@ -415,7 +416,7 @@
 
 void engine_driver::execute_one(start_scoring& command) {
     const steady_time now = std::chrono::steady_clock::now();
-    const auto location = result_locations_.find(command.made_by);
+    const auto location = result_locations_.find(command.text_ticket);
     instance_id runner;
     if (location != result_locations_.end() &&
         directory_.contains(location->second)) {
@@ -445,7 +446,7 @@
 }
 
 void engine_driver::send_orders() {
-    std::map<instance_id, run_order> orders;
+    std::map<instance_id, runner_command> orders;
     orders.swap(orders_);
     for (auto& [runner, order] : orders) {
         send_order_to(runner, std::move(order));
@@ -453,7 +454,8 @@
     schedule_runner_check();
 }
 
-void engine_driver::send_order_to(const instance_id& runner, run_order order) {
+void engine_driver::send_order_to(const instance_id& runner,
+                                  runner_command order) {
     order.service = options_.service;
     order.term = last_term_;
     if (const auto done = pending_releases_.find(runner);
@@ -469,7 +471,7 @@
     if (entry != directory_.end()) {
         peers_.send({.from = options_.self,
                      .to = runner,
-                     .topic = peer_topic::run_order,
+                     .topic = peer_topic::runner_command,
                      .body = wire::encode(order)},
                     entry->second.address);
     }
@@ -487,7 +489,7 @@
             return;
         }
         const auto lost_runs =
-            runners_.take_lost(std::chrono::steady_clock::now());
+            runners_.take_lost_runs(std::chrono::steady_clock::now());
         if (!lost_runs.empty()) {
             log_.write(log_event::runner_lost,
                        "service=" + options_.service.text() +
@@ -509,7 +511,8 @@
     });
 }
 
-void engine_driver::on_run_update(const instance_id& runner, run_news update) {
+void engine_driver::on_run_update(const instance_id& runner,
+                                  runner_update update) {
     const steady_time now = std::chrono::steady_clock::now();
     if (update.takeover_term != 0) {
         if (update.takeover_term == last_term_ && term_.term()) {
@@ -526,7 +529,7 @@
             result_locations_[end.ticket] = runner;
         }
     }
-    for (const score_news& score : update.scores) {
+    for (const score_message& score : update.scores) {
         runners_.on_ended(score.ticket);
         if (score.has_score) {
             result_locations_[score.ticket] = runner;
@@ -534,7 +537,7 @@
     }
     std::vector<run_ticket> missing;
     if (!update.active.empty()) {
-        missing = runners_.on_news(
+        missing = runners_.on_runner_update(
             runner, {update.active.begin(), update.active.end()}, now);
         for (const run_ticket ticket : missing) {
             runners_.on_ended(ticket);
@@ -550,7 +553,7 @@
         for (const run_report& end : update.ends) {
             planner.on_run_ended(end, at);
         }
-        for (const score_news& score : update.scores) {
+        for (const score_message& score : update.scores) {
             planner.on_scored({.ticket = score.ticket,
                                .score = score.has_score
                                             ? std::optional(score.score)
--- a/drivers/batch/engine_driver.hpp
+++ b/drivers/batch/engine_driver.hpp
@@ -68,7 +68,7 @@
     void on_wanted_version(const std::string& model, weight_version version);
 
     /// Handles an update from an instance that runs items for this planner.
-    void on_run_update(const instance_id& runner, run_news update);
+    void on_run_update(const instance_id& runner, runner_update update);
 
     /// Stops starting runs, lists finished results for at most `time` and then
     /// gives up the term. Active runs continue under the next planner.
@@ -91,7 +91,7 @@
     void execute_one(commit_results& command);
     void execute_one(save_progress& command);
     void send_orders();
-    void send_order_to(const instance_id& runner, run_order order);
+    void send_order_to(const instance_id& runner, runner_command order);
     void schedule_runner_check();
     /// Asks all instances which runs and results of earlier planners they hold.
     void begin_takeover();
@@ -103,7 +103,7 @@
     void on_lost(term_end reason);
     /// Whether this service plans the job under the current configuration.
     [[nodiscard]] bool is_own_job(const job_record& record) const;
-    [[nodiscard]] job_terms terms_of(const job_record& record) const;
+    [[nodiscard]] job_settings job_settings_of(const job_record& record) const;
     [[nodiscard]] const upstream_entry*
     find_upstream(const upstream_id& id) const;
 
@@ -128,7 +128,7 @@
     engine_driver_options options_;
     runner_pool runners_;
     /// Orders to runners, collected during one step.
-    std::map<instance_id, run_order> orders_;
+    std::map<instance_id, runner_command> orders_;
     /// The instance that keeps each complete text or score until it is listed.
     std::map<run_ticket, instance_id> result_locations_;
     /// Tickets whose results may be dropped, sent with the next order to the
--- a/drivers/batch/run_host.cpp
+++ b/drivers/batch/run_host.cpp
@@ -32,7 +32,7 @@
         return "not_run";
     case run_end::failed:
         return "failed";
-    case run_end::impossible:
+    case run_end::invalid_item:
         return "impossible";
     case run_end::wrong_version:
         return "wrong_version";
@@ -55,7 +55,7 @@
     , log_(log)
     , timer_(context) {}
 
-void run_host::on_order(const instance_id& planner, run_order order) {
+void run_host::on_order(const instance_id& planner, runner_command order) {
     const planner_key key{planner, order.service};
     store_revision& term = terms_[order.service];
     if (order.term < term) {
@@ -84,7 +84,7 @@
 }
 
 void run_host::hand_over(const planner_key& planner, store_revision term) {
-    run_news update{.service = planner.second, .takeover_term = term};
+    runner_update update{.service = planner.second, .takeover_term = term};
     std::vector<run_ticket> scorings;
     for (const auto& [ticket, run] : runs_) {
         if (run->service != planner.second || run->record->is_stopped) {
@@ -165,10 +165,10 @@
             if (error) {
                 return;
             }
-            run_news update{.service = planner.second};
+            runner_update update{.service = planner.second};
             update.ends.push_back({.ticket = ticket,
                                    .end = run_end::stopped,
-                                   .rest = {.ticket = ticket}});
+                                   .last_delta = {.ticket = ticket}});
             report_(planner.first, std::move(update));
         });
 }
@@ -231,10 +231,11 @@
                            .text = progress.text,
                            .versions = progress.versions});
     }
-    run_news update{.service = run->service};
-    update.ends.push_back({.ticket = run->task->ticket,
-                           .end = end,
-                           .rest = run->record->take_delta(run->task->ticket)});
+    runner_update update{.service = run->service};
+    update.ends.push_back(
+        {.ticket = run->task->ticket,
+         .end = end,
+         .last_delta = run->record->take_delta(run->task->ticket)});
     report_(run->planner, std::move(update));
 }
 
@@ -255,7 +256,7 @@
                 if (score) {
                     keep_result(*run, {.is_scoring = true, .score = *score});
                 }
-                run_news update{.service = run->service};
+                runner_update update{.service = run->service};
                 update.scores.push_back({.ticket = run->task->ticket,
                                          .has_score = score.has_value(),
                                          .score = score.value_or("")});
@@ -293,9 +294,9 @@
 }
 
 void run_host::report_events() {
-    std::map<planner_key, run_news> updates;
+    std::map<planner_key, runner_update> updates;
     for (const auto& [ticket, run] : runs_) {
-        run_news& update = updates[{run->planner, run->service}];
+        runner_update& update = updates[{run->planner, run->service}];
         update.service = run->service;
         update.active.push_back(ticket);
         if (run->record->progress.events > run->record->reported_events) {
--- a/drivers/batch/run_host.hpp
+++ b/drivers/batch/run_host.hpp
@@ -33,7 +33,8 @@
 class run_host {
 public:
     /// Delivers an update to a planner.
-    using reporter = std::function<void(const instance_id& planner, run_news)>;
+    using reporter =
+        std::function<void(const instance_id& planner, runner_update)>;
 
     /// Whether this instance knows that a job has ended.
     using job_end_check = std::function<bool(const job_id& job)>;
@@ -44,7 +45,7 @@
              logger& log);
 
     /// Handles an order from a planner. Ignores orders of older terms.
-    void on_order(const instance_id& planner, run_order order);
+    void on_order(const instance_id& planner, runner_command order);
 
     /// Stops all runs and reports the text received so far.
     void stop_all();
--- a/drivers/node/node_instance.cpp
+++ b/drivers/node/node_instance.cpp
@@ -104,7 +104,7 @@
     std::vector<feed_subscription> subscriptions();
     [[nodiscard]] const key_copy& control_keys() const;
     void on_peer_message(const peer_message& message);
-    void report_runs(const instance_id& planner, run_news update);
+    void report_runs(const instance_id& planner, runner_update update);
     void apply_node_change(const store_change& change);
     outcome<done> listen();
     void start();
@@ -199,7 +199,7 @@
     , runner_(engine_client_, plain_, fleet_, log)
     , host_(
           context_, runner_, settings_.instance,
-          [this](const instance_id& planner, run_news update) {
+          [this](const instance_id& planner, runner_update update) {
               report_runs(planner, std::move(update));
           },
           [this](const job_id& job) {
@@ -529,15 +529,15 @@
     case peer_topic::feed_request:
         feed_.on_message(message);
         break;
-    case peer_topic::run_order: {
-        auto order = wire::decode<run_order>(message.body);
+    case peer_topic::runner_command: {
+        auto order = wire::decode<runner_command>(message.body);
         if (order) {
             host_.on_order(message.from, std::move(*order));
         }
         break;
     }
     case peer_topic::run_report: {
-        auto update = wire::decode<run_news>(message.body);
+        auto update = wire::decode<runner_update>(message.body);
         const auto engine =
             update ? engines_.find(update->service) : engines_.end();
         if (engine != engines_.end()) {
@@ -558,7 +558,7 @@
 }
 
 void node_instance::impl::report_runs(const instance_id& planner,
-                                      run_news update) {
+                                      runner_update update) {
     if (planner == settings_.instance) {
         const auto engine = engines_.find(update.service);
         if (engine != engines_.end()) {
