--- a/drivers/batch/engine_driver.cpp
+++ b/drivers/batch/engine_driver.cpp
@@ -340,7 +340,7 @@
                                       weight_version version) {
     decide([model, version](engine_control& control, steady_time,
                             engine_commands&) {
-        control.roller().on_wanted(model, version);
+        control.rollout().on_target_version(model, version);
     });
 }
 
@@ -357,10 +357,10 @@
         std::visit([this](auto& one) { carry_out_one(one); }, command);
     }
     send_orders();
-    for (version_order& order : commands.roller.orders) {
+    for (version_order& order : commands.rollout.orders) {
         asio::co_spawn(context_, send_order(std::move(order)), asio::detached);
     }
-    for (const upstream_id& upstream : commands.roller.load_requests) {
+    for (const upstream_id& upstream : commands.rollout.load_report_requests) {
         asio::co_spawn(context_, ask_load(upstream), asio::detached);
     }
 }
@@ -636,13 +636,13 @@
                    " answer=" + to_word(answer));
     decide([order, answer](engine_control& control, steady_time now,
                            engine_commands&) {
-        control.roller().on_answer(order, answer, now);
+        control.rollout().on_answer(order, answer, now);
     });
 }
 
 asio::awaitable<void> engine_driver::ask_load(upstream_id id) {
     const upstream_entry* const upstream = find_upstream(id);
-    std::optional<upstream_load> load;
+    std::optional<upstream_load_report> load;
     if (upstream != nullptr) {
         http_request request = platform::make_load_request();
         const steady_time deadline =
@@ -655,7 +655,7 @@
     }
     decide(
         [id, load](engine_control& control, steady_time now, engine_commands&) {
-            control.roller().on_load(id, load, now);
+            control.rollout().on_load_report(id, load, now);
         });
 }
 
--- a/servers/batch/engine_control.cpp
+++ b/servers/batch/engine_control.cpp
@@ -6,18 +6,18 @@
 
 engine_control::engine_control(item_planner_options planner,
                                run_ticket first_ticket,
-                               version_roller_options roller)
+                               version_rollout_options rollout)
     : planner_(planner, first_ticket,
                [this](const upstream_id& upstream, const std::string& model,
                       steady_time now) {
-                   return roller_.is_loading(upstream, model, now);
+                   return rollout_.is_loading(upstream, model, now);
                })
     , work_(planner_)
-    , roller_(std::move(roller), work_) {}
+    , rollout_(std::move(rollout), work_) {}
 
 void engine_control::on_term(std::optional<fencing_number> term,
                              steady_time now, engine_commands& out) {
-    roller_.on_term(term);
+    rollout_.on_term(term);
     planner_.on_term(term.has_value());
     advance(now, out);
 }
@@ -25,30 +25,31 @@
 void engine_control::on_upstreams(const std::vector<upstream_entry>& upstreams,
                                   const engine_terms& terms, steady_time now,
                                   engine_commands& out) {
-    roller_.on_upstreams(upstreams, now);
+    rollout_.on_upstreams(upstreams, now);
     planner_.on_upstreams(upstreams, terms, now);
     advance(now, out);
 }
 
 void engine_control::advance(steady_time now, engine_commands& out) {
-    roller_commands orders = roller_.advance(now);
+    version_rollout_commands orders = rollout_.advance(now);
     for (const version_order& order : orders.orders) {
         planner_.on_loading(order.upstream, order.model, now, out.planner);
     }
     std::move(orders.orders.begin(), orders.orders.end(),
-              std::back_inserter(out.roller.orders));
-    std::move(orders.load_requests.begin(), orders.load_requests.end(),
-              std::back_inserter(out.roller.load_requests));
+              std::back_inserter(out.rollout.orders));
+    std::move(orders.load_report_requests.begin(),
+              orders.load_report_requests.end(),
+              std::back_inserter(out.rollout.load_report_requests));
     planner_.advance(now, out.planner);
 }
 
 std::optional<steady_time> engine_control::next_wakeup() const {
     const auto planner = planner_.next_wakeup();
-    const auto roller = roller_.next_wakeup();
-    if (planner && roller) {
-        return std::min(*planner, *roller);
+    const auto rollout = rollout_.next_wakeup();
+    if (planner && rollout) {
+        return std::min(*planner, *rollout);
     }
-    return planner ? planner : roller;
+    return planner ? planner : rollout;
 }
 
 } // namespace savorydock
--- a/servers/batch/engine_control.hpp
+++ b/servers/batch/engine_control.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "servers/batch/item_planner.hpp"
-#include "servers/versions/version_roller.hpp"
+#include "servers/versions/version_rollout.hpp"
 
 #include <optional>
 
@@ -10,11 +10,11 @@
 /// Commands of one step of an engine service's control.
 struct engine_commands {
     planner_commands planner;
-    roller_commands roller;
+    version_rollout_commands rollout;
 
     [[nodiscard]] bool is_empty() const {
-        return planner.empty() && roller.orders.empty() &&
-               roller.load_requests.empty();
+        return planner.empty() && rollout.orders.empty() &&
+               rollout.load_report_requests.empty();
     }
 };
 
@@ -24,12 +24,12 @@
 public:
     /// `first_ticket`: see item_planner.
     engine_control(item_planner_options planner, run_ticket first_ticket,
-                   version_roller_options roller);
+                   version_rollout_options rollout);
     engine_control(const engine_control&) = delete;
     engine_control& operator=(const engine_control&) = delete;
 
     [[nodiscard]] item_planner& planner() { return planner_; }
-    [[nodiscard]] version_roller& roller() { return roller_; }
+    [[nodiscard]] version_rollout& rollout() { return rollout_; }
 
     void on_term(std::optional<fencing_number> term, steady_time now,
                  engine_commands& out);
@@ -44,7 +44,7 @@
 
 private:
     /// The planner's work as the roller asks for it.
-    class planned_work final : public engine_work {
+    class planned_work final : public engine_workload {
     public:
         explicit planned_work(const item_planner& planner)
             : planner_(planner) {}
@@ -66,7 +66,7 @@
 
     item_planner planner_;
     planned_work work_;
-    version_roller roller_;
+    version_rollout rollout_;
 };
 
 } // namespace savorydock
--- a/servers/versions/version_order.hpp
+++ b/servers/versions/version_order.hpp
@@ -7,38 +7,39 @@
 
 namespace savorydock {
 
-/// An order that moves one upstream to a version of a model's weights; runs
-/// in progress go on under the new version.
+/// An order that moves one upstream to a version of a model's weights. Runs in
+/// progress continue with the new version.
 struct version_order {
     upstream_id upstream;
     std::string model;
     weight_version version = 0;
-    /// The instance that gives the order, and its fencing number.
+    /// The instance that sends the order, and its fencing number.
     std::string holder;
     fencing_number fencing = 0;
-    /// Orders that the upstream must have accepted before; an order that is
-    /// carried out late fails by it.
+    /// The number of orders that the upstream must have accepted before. If it
+    /// differs, the order fails; this rejects orders that arrive late.
     std::uint64_t expected_orders = 0;
 };
 
-/// What an upstream answered to an order.
+/// The answer of an upstream to an order.
 enum class order_answer : std::uint8_t {
     accepted,
     already_holds,
-    /// Another order runs, or the count of accepted orders differs.
+    /// Another order is being carried out, or the number of accepted orders
+    /// differs.
     conflict,
     /// It has seen a higher fencing number.
     fenced_off,
-    /// The version or the model isn't known to it.
+    /// The upstream does not know the version or the model.
     invalid,
-    /// Another upstream has the address.
+    /// The address belongs to another upstream.
     wrong_upstream,
-    /// The answer doesn't tell.
+    /// There was no answer, or it does not say whether the order was accepted.
     unknown,
 };
 
-/// The load that an upstream reports; some hundred milliseconds old.
-struct upstream_load {
+/// The load that an upstream reports; a few hundred milliseconds old.
+struct upstream_load_report {
     bool is_busy_with_order = false;
     std::uint64_t accepted_orders = 0;
     std::uint32_t waiting = 0;
--- a/servers/versions/version_roller.cpp
+++ b/servers/versions/version_rollout.cpp
@@ -1,4 +1,4 @@
-#include "servers/versions/version_roller.hpp"
+#include "servers/versions/version_rollout.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,30 +7,30 @@
 
 namespace savorydock {
 
-version_roller::version_roller(version_roller_options options,
-                               const engine_work& work)
+version_rollout::version_rollout(version_rollout_options options,
+                                 const engine_workload& workload)
     : options_(std::move(options))
-    , work_(work) {}
+    , workload_(workload) {}
 
-void version_roller::on_term(std::optional<fencing_number> term) {
+void version_rollout::on_term(std::optional<fencing_number> term) {
     term_ = term;
     for (auto& [id, progress] : upstreams_) {
         progress.current.reset();
         progress.is_accepted = false;
-        progress.is_load_wanted = true;
-        progress.is_load_asked = false;
+        progress.needs_load_report = true;
+        progress.is_load_report_requested = false;
         progress.ordered.clear();
     }
 }
 
-void version_roller::on_wanted(const std::string& model,
-                               weight_version version) {
-    weight_version& wanted = wanted_[model];
-    wanted = std::max(wanted, version);
+void version_rollout::on_target_version(const std::string& model,
+                                        weight_version version) {
+    weight_version& target = targets_[model];
+    target = std::max(target, version);
 }
 
-void version_roller::on_upstreams(const std::vector<upstream_entry>& upstreams,
-                                  steady_time now) {
+void version_rollout::on_upstreams(const std::vector<upstream_entry>& upstreams,
+                                   steady_time now) {
     std::set<upstream_id> listed;
     std::set<std::string> models;
     for (const upstream_entry& entry : upstreams) {
@@ -54,11 +54,11 @@
     }
     std::erase_if(upstreams_,
                   [&](const auto& row) { return !listed.contains(row.first); });
-    models_ = std::max<std::size_t>(1, models.size());
+    model_count_ = std::max<std::size_t>(1, models.size());
     finish_loads(now);
 }
 
-void version_roller::finish_loads(steady_time now) {
+void version_rollout::finish_loads(steady_time now) {
     for (auto& [id, progress] : upstreams_) {
         if (progress.current && progress.is_accepted &&
             progress.busy_until <= now) {
@@ -68,8 +68,8 @@
     }
 }
 
-void version_roller::on_answer(const version_order& order, order_answer answer,
-                               steady_time now) {
+void version_rollout::on_answer(const version_order& order, order_answer answer,
+                                steady_time now) {
     const auto found = upstreams_.find(order.upstream);
     if (found == upstreams_.end() || !found->second.current ||
         found->second.current->fencing != order.fencing) {
@@ -87,9 +87,9 @@
         break;
     case order_answer::conflict:
     case order_answer::unknown:
-        // The count of accepted orders may differ from the one believed.
+        // The number of accepted orders may differ from the recorded one.
         progress.current.reset();
-        progress.is_load_wanted = true;
+        progress.needs_load_report = true;
         progress.not_before = now + options_.retry_pause;
         return;
     case order_answer::fenced_off:
@@ -103,88 +103,93 @@
     progress.ordered_at[order.model] = now;
 }
 
-void version_roller::on_load(const upstream_id& upstream,
-                             const std::optional<upstream_load>& load,
-                             steady_time now) {
+void version_rollout::on_load_report(
+    const upstream_id& upstream,
+    const std::optional<upstream_load_report>& load, steady_time now) {
     const auto found = upstreams_.find(upstream);
     if (found == upstreams_.end()) {
         return;
     }
     upstream_progress& progress = found->second;
-    progress.is_load_asked = false;
+    progress.is_load_report_requested = false;
     if (!load) {
         progress.not_before = now + options_.retry_pause;
         return;
     }
-    progress.is_load_wanted = load->is_busy_with_order;
+    progress.needs_load_report = load->is_busy_with_order;
     progress.accepted_orders = load->accepted_orders;
     progress.not_before =
         load->is_busy_with_order ? now + options_.retry_pause : now;
 }
 
-bool version_roller::is_on_the_way(const upstream_progress& progress,
-                                   const std::string& model,
-                                   weight_version wanted,
-                                   steady_time now) const {
+bool version_rollout::is_load_pending(const upstream_progress& progress,
+                                      const std::string& model,
+                                      weight_version target,
+                                      steady_time now) const {
     const auto ordered = progress.ordered.find(model);
-    return (ordered != progress.ordered.end() && ordered->second >= wanted &&
+    return (ordered != progress.ordered.end() && ordered->second >= target &&
             now < progress.ordered_at.at(model) + options_.confirm_time) ||
            (progress.current && progress.current->model == model &&
-            progress.current->version >= wanted);
+            progress.current->version >= target);
 }
 
-version_roller::model_views version_roller::view_models(steady_time now) const {
+version_rollout::model_views
+version_rollout::view_models(steady_time now) const {
     model_views models;
-    for (const auto& [model, wanted] : wanted_) {
-        model_view view{.wanted = wanted,
-                        .least = work_.least_version(model),
-                        .has_waiting = work_.has_waiting(model)};
+    for (const auto& [model, target] : targets_) {
+        model_view view{.target = target,
+                        .oldest_allowed = workload_.least_version(model),
+                        .has_waiting = workload_.has_waiting(model)};
         for (const auto& [id, progress] : upstreams_) {
             const auto held = progress.entry.versions.find(model);
             if (held == progress.entry.versions.end() ||
                 progress.entry.is_draining) {
                 continue;
             }
-            const bool is_current = held->second >= wanted ||
-                                    is_on_the_way(progress, model, wanted, now);
+            const bool is_current =
+                held->second >= target ||
+                is_load_pending(progress, model, target, now);
             ++view.engines;
             view.current += is_current ? 1 : 0;
-            view.usable += is_current || held->second >= view.least ? 1 : 0;
+            view.usable +=
+                is_current || held->second >= view.oldest_allowed ? 1 : 0;
         }
         models[model] = view;
     }
     return models;
 }
 
-std::size_t version_roller::busy_target(const model_view& view) const {
-    const auto share =
-        std::min(options_.prompt_share, 1.0 / static_cast<double>(models_));
+std::size_t version_rollout::busy_load_quota(const model_view& view) const {
+    const auto share = std::min(options_.busy_load_share,
+                                1.0 / static_cast<double>(model_count_));
     return static_cast<std::size_t>(
         std::ceil(share * static_cast<double>(view.engines)));
 }
 
-std::size_t version_roller::idle_target(const model_view& view) const {
-    return (view.engines + models_ - 1) / models_;
+std::size_t version_rollout::idle_load_quota(const model_view& view) const {
+    return (view.engines + model_count_ - 1) / model_count_;
 }
 
-bool version_roller::may_load(const candidate& load,
-                              const model_view& view) const {
+bool version_rollout::may_load(const load_candidate& load,
+                               const model_view& view) const {
     const bool is_idle = !view.has_waiting && load.runs == 0;
-    const bool is_missed = view.has_waiting && load.held < view.least;
-    // With a single model an engine that its jobs can't use has nothing else
-    // to do; with several it may serve the others.
-    const bool is_useless = models_ == 1 && load.held < view.least;
-    return view.current < busy_target(view) ||
-           (is_idle && view.current < idle_target(view)) || is_missed ||
-           is_useless;
+    const bool is_needed_by_waiting =
+        view.has_waiting && load.held < view.oldest_allowed;
+    // With a single model, an engine that its jobs can't use has no other
+    // work; with several models it may serve the others.
+    const bool is_unusable =
+        model_count_ == 1 && load.held < view.oldest_allowed;
+    return view.current < busy_load_quota(view) ||
+           (is_idle && view.current < idle_load_quota(view)) ||
+           is_needed_by_waiting || is_unusable;
 }
 
-std::vector<version_roller::candidate>
-version_roller::find_candidates(const model_views& models, steady_time now) {
-    std::vector<candidate> found;
+std::vector<version_rollout::load_candidate>
+version_rollout::find_candidates(const model_views& models, steady_time now) {
+    std::vector<load_candidate> found;
     for (auto& [id, progress] : upstreams_) {
         if (progress.current || progress.not_before > now ||
-            progress.entry.is_draining || progress.is_load_asked) {
+            progress.entry.is_draining || progress.is_load_report_requested) {
             continue;
         }
         const std::size_t first = found.size();
@@ -194,32 +199,32 @@
             if (view == models.end()) {
                 continue;
             }
-            usable += held >= view->second.least ? 1 : 0;
+            usable += held >= view->second.oldest_allowed ? 1 : 0;
             const bool is_pending =
-                is_on_the_way(progress, model, view->second.wanted, now);
-            if (held < view->second.wanted && !is_pending) {
+                is_load_pending(progress, model, view->second.target, now);
+            if (held < view->second.target && !is_pending) {
                 found.push_back({.progress = &progress,
                                  .model = &view->first,
                                  .held = held,
-                                 .runs = work_.runs_on(id, model)});
+                                 .runs = workload_.runs_on(id, model)});
             }
         }
         for (std::size_t at = first; at < found.size(); ++at) {
-            const bool is_itself =
-                found[at].held >= models.at(*found[at].model).least;
-            found[at].other_models = usable - (is_itself ? 1 : 0);
+            const bool counts_own_model =
+                found[at].held >= models.at(*found[at].model).oldest_allowed;
+            found[at].other_models = usable - (counts_own_model ? 1 : 0);
         }
     }
     return found;
 }
 
-std::vector<version_roller::candidate>::iterator
-version_roller::choose(std::vector<candidate>& candidates,
-                       const model_views& models) const {
-    const auto rank = [&](const candidate& load) {
+std::vector<version_rollout::load_candidate>::iterator
+version_rollout::choose_candidate(std::vector<load_candidate>& candidates,
+                                  const model_views& models) const {
+    const auto rank = [&](const load_candidate& load) {
         const model_view& view = models.at(*load.model);
         return std::tuple(!view.has_waiting, view.usable,
-                          load.held >= view.least, load.runs > 0,
+                          load.held >= view.oldest_allowed, load.runs > 0,
                           load.other_models, load.held, load.runs);
     };
     auto best = candidates.end();
@@ -232,13 +237,13 @@
     return best;
 }
 
-version_order version_roller::make_order(const candidate& load,
-                                         steady_time now) {
+version_order version_rollout::make_order(const load_candidate& load,
+                                          steady_time now) {
     upstream_progress& progress = *load.progress;
     progress.current =
         version_order{.upstream = progress.entry.id,
                       .model = *load.model,
-                      .version = wanted_.at(*load.model),
+                      .version = targets_.at(*load.model),
                       .holder = options_.holder,
                       .fencing = *term_,
                       .expected_orders = progress.accepted_orders};
@@ -247,15 +252,15 @@
     return *progress.current;
 }
 
-std::size_t version_roller::loading_limit() const {
+std::size_t version_rollout::loading_limit() const {
     const double share =
         options_.loading_share * static_cast<double>(upstreams_.size());
     return std::max<std::size_t>(1,
                                  static_cast<std::size_t>(std::lround(share)));
 }
 
-roller_commands version_roller::advance(steady_time now) {
-    roller_commands commands;
+version_rollout_commands version_rollout::advance(steady_time now) {
+    version_rollout_commands commands;
     if (!term_) {
         return commands;
     }
@@ -270,33 +275,33 @@
         return commands;
     }
     model_views models = view_models(now);
-    std::vector<candidate> candidates = find_candidates(models, now);
+    std::vector<load_candidate> candidates = find_candidates(models, now);
     while (loading < limit) {
-        const auto next = choose(candidates, models);
+        const auto next = choose_candidate(candidates, models);
         if (next == candidates.end()) {
             break;
         }
-        const candidate load = *next;
+        const load_candidate load = *next;
         model_view& view = models.at(*load.model);
-        view.usable += load.held < view.least ? 1 : 0;
+        view.usable += load.held < view.oldest_allowed ? 1 : 0;
         ++view.current;
         ++loading;
-        if (load.progress->is_load_wanted) {
-            // Counts as a load, so that no more engines are asked than may
-            // load.
-            load.progress->is_load_asked = true;
-            commands.load_requests.push_back(load.progress->entry.id);
+        if (load.progress->needs_load_report) {
+            // Counts against the limit, so that no more load reports are
+            // requested than engines may load.
+            load.progress->is_load_report_requested = true;
+            commands.load_report_requests.push_back(load.progress->entry.id);
         } else {
             commands.orders.push_back(make_order(load, now));
         }
-        std::erase_if(candidates, [&](const candidate& other) {
+        std::erase_if(candidates, [&](const load_candidate& other) {
             return other.progress == load.progress;
         });
     }
     return commands;
 }
 
-std::optional<steady_time> version_roller::next_wakeup() const {
+std::optional<steady_time> version_rollout::next_wakeup() const {
     std::optional<steady_time> next;
     const auto consider = [&](steady_time at) {
         next = next ? std::min(*next, at) : at;
@@ -312,21 +317,21 @@
             continue;
         }
         for (const auto& [model, held] : progress.entry.versions) {
-            const auto wanted = wanted_.find(model);
-            if (wanted == wanted_.end() || held >= wanted->second ||
+            const auto target = targets_.find(model);
+            if (target == targets_.end() || held >= target->second ||
                 progress.entry.is_draining) {
                 continue;
             }
             const auto ordered = progress.ordered.find(model);
             const bool is_pending = ordered != progress.ordered.end() &&
-                                    ordered->second >= wanted->second;
+                                    ordered->second >= target->second;
             const steady_time due =
                 is_pending ? std::max(progress.not_before,
                                       progress.ordered_at.at(model) +
                                           options_.confirm_time)
                            : progress.not_before;
-            // What is due already waits for the end of other work, which is
-            // an input of its own.
+            // Work that is already due waits for other loads to end, and
+            // those cause an input or a wakeup of their own.
             if (due > last_advance_) {
                 consider(due);
             }
@@ -335,9 +340,9 @@
     return next;
 }
 
-bool version_roller::is_loading(const upstream_id& upstream,
-                                const std::string& model,
-                                steady_time now) const {
+bool version_rollout::is_loading(const upstream_id& upstream,
+                                 const std::string& model,
+                                 steady_time now) const {
     const auto found = upstreams_.find(upstream);
     return found != upstreams_.end() && found->second.current &&
            found->second.current->model == model &&
