--- a/servers/platform/platform_store.hpp
+++ b/servers/platform/platform_store.hpp
@@ -8,20 +8,20 @@
 
 namespace savorydock {
 
-/// The platform's key-value service as the runtime sees it.
+/// The interface of the runtime to the platform's key-value service.
 class platform_store {
 public:
     using reply_handler = std::function<void(outcome<platform_answer>)>;
 
     virtual ~platform_store() = default;
 
-    /// Sends a request. `on_reply` is called exactly once, at the deadline at
-    /// the latest, on a thread of the implementation's own. A watch that sees
-    /// no change by its deadline succeeds with an empty answer.
+    /// Sends a request. `on_reply` is called exactly once, no later than the
+    /// deadline, on a thread of the implementation. A watch without a change
+    /// until its deadline succeeds with an empty answer.
     ///
-    /// Errors: `platform_unreachable` for every answer that did not come, even
-    /// if the write may have taken effect; `lease_not_held` if the lease named
-    /// does not exist. Thread safe; does not block.
+    /// Errors: `platform_unreachable` if no answer arrived, also if the write
+    /// may have taken effect; `lease_not_held` if the lease in the request does
+    /// not exist. Thread safe; does not block.
     virtual void submit(const platform_request& request, steady_time deadline,
                         reply_handler on_reply) = 0;
 };
--- a/servers/platform/store_transaction.hpp
+++ b/servers/platform/store_transaction.hpp
@@ -9,7 +9,8 @@
 
 namespace savorydock {
 
-/// A key must have been changed last at `revision`; 0: it must not exist.
+/// Requires that a key was last modified at `revision`; 0: that it does not
+/// exist.
 struct store_condition {
     std::string key;
     store_revision revision = 0;
@@ -18,19 +19,19 @@
 struct store_write {
     std::string key;
     std::string value;
-    /// The key vanishes with this lease; 0: it stays.
+    /// The key is deleted when this lease ends; 0: no lease.
     std::uint64_t lease = 0;
 };
 
-/// Writes and deletions that take effect together if all conditions hold.
+/// Writes and deletions that take effect atomically if all conditions hold.
 struct store_transaction {
     std::vector<store_condition> conditions;
     std::vector<store_write> writes;
     std::vector<std::string> deletions;
 };
 
-/// A transaction of one write. GCC 12 can't build lists of conditions inside
-/// a coroutine, so they are built here.
+/// Returns a transaction with one write. A separate function because GCC 12
+/// can't compile these initializer lists inside a coroutine.
 [[nodiscard]] inline store_transaction make_write(store_condition condition,
                                                   store_write write) {
     store_transaction transaction;
@@ -39,19 +40,20 @@
     return transaction;
 }
 
-/// The transaction took effect at this revision.
+/// The transaction took effect, at this revision.
 struct transaction_done {
     store_revision revision = 0;
 };
 
-/// A condition did not hold; the keys of the conditions as they are now.
+/// A condition did not hold. Contains the current values of the keys in the
+/// conditions.
 struct transaction_conflict {
     std::vector<stored_value> current;
 };
 
 using transaction_result = std::variant<transaction_done, transaction_conflict>;
 
-/// A page of keys under a prefix, in their order.
+/// A page of the keys with a prefix, sorted by key.
 struct store_page {
     std::vector<stored_value> values;
     bool has_more = false;
@@ -64,7 +66,7 @@
     bool is_removed = false;
 };
 
-/// The changes after a revision, up to `revision`.
+/// The changes after the requested revision, up to and including `revision`.
 struct store_changes {
     std::vector<store_change> changes;
     store_revision revision = 0;
