--- a/drivers/entry/control_plane.hpp
+++ b/drivers/entry/control_plane.hpp
@@ -7,7 +7,7 @@
 #include "drivers/entry/entry_executor.hpp"
 #include "drivers/entry/rendezvous_candidates.hpp"
 #include "servers/configuration/configuration_server.hpp"
-#include "servers/control/order_holder.hpp"
+#include "servers/control/order_server.hpp"
 #include "servers/delivery/delivery_server.hpp"
 #include "servers/explain/explain_server.hpp"
 #include "servers/limits/limit_server.hpp"
@@ -60,7 +60,7 @@
         return configuration_;
     }
     [[nodiscard]] membership_server& membership() { return membership_; }
-    [[nodiscard]] order_holder& orders() { return orders_; }
+    [[nodiscard]] order_server& orders() { return orders_; }
     [[nodiscard]] delivery_server& delivery() { return delivery_; }
     [[nodiscard]] explain_server& explanations() { return explanations_; }
 
@@ -74,7 +74,7 @@
     configuration_server configuration_;
     membership_server membership_;
     rendezvous_candidates candidates_;
-    order_holder orders_;
+    order_server orders_;
     limit_server limits_;
     delivery_server delivery_;
     explain_server explanations_;
--- a/drivers/entry/entry_charts.cpp
+++ b/drivers/entry/entry_charts.cpp
@@ -1,7 +1,7 @@
 #include "drivers/entry/entry_charts.hpp"
 
 #include "drivers/caller_http/request_life.hpp"
-#include "servers/control/order_track.hpp"
+#include "servers/control/order_tracker.hpp"
 #include "servers/membership/upstream_health.hpp"
 
 namespace savorydock {
@@ -25,7 +25,7 @@
     }
     for (const auto& checked : {savorydock::request_life::check_chart(*request),
                                 upstream_health::check_chart(*upstream),
-                                order_track::check_chart(*order)}) {
+                                order_tracker::check_chart(*order)}) {
         if (!checked) {
             return checked.reason();
         }
--- a/drivers/entry/status_json.hpp
+++ b/drivers/entry/status_json.hpp
@@ -2,7 +2,7 @@
 
 #include "drivers/peer/peer_counters.hpp"
 #include "servers/configuration/configuration_server.hpp"
-#include "servers/control/order_holder.hpp"
+#include "servers/control/order_server.hpp"
 #include "servers/explain/explain_server.hpp"
 #include "servers/membership/membership_message.hpp"
 #include "servers/routing/upstream_state.hpp"
--- a/drivers/platform_kv/gateway_codec.cpp
+++ b/drivers/platform_kv/gateway_codec.cpp
@@ -126,7 +126,7 @@
         return {"/v3/lease/grant", json::serialize(body)};
     }
 
-    gateway_call operator()(const keep_lease& request) const {
+    gateway_call operator()(const renew_lease& request) const {
         return {"/v3/lease/keepalive", lease_body(request.lease)};
     }
 
@@ -168,7 +168,7 @@
 
     void operator()(const grant_lease&) { read_lease(body); }
 
-    void operator()(const keep_lease&) {
+    void operator()(const renew_lease&) {
         read_lease(body.at("result").as_object());
     }
 
@@ -198,7 +198,7 @@
 // The gateway answers a renewal of a lease that has ended with no time left.
 bool is_ended_lease(const platform_request& request,
                     const platform_answer& answer) {
-    return std::holds_alternative<keep_lease>(request) &&
+    return std::holds_alternative<renew_lease>(request) &&
            answer.time_to_live.count() == 0;
 }
 
--- a/drivers/upstream_http/upstream_client.cpp
+++ b/drivers/upstream_http/upstream_client.cpp
@@ -84,10 +84,10 @@
 
 upstream_evidence evidence_of(unsigned status, const http_headers& headers) {
     if (!find_header(headers, leaving_header).empty()) {
-        return upstream_evidence::said_leaving;
+        return upstream_evidence::reported_leaving;
     }
     if (status == status_unavailable || status == status_too_many_requests) {
-        return upstream_evidence::said_overloaded;
+        return upstream_evidence::reported_overloaded;
     }
     return upstream_evidence::answered;
 }
--- a/servers/control/lease_keeper.cpp
+++ b/servers/control/lease_keeper.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Renewals a lease time, so that one may be lost.
+/// Renewals per lease time; more than one, so that a lost renewal doesn't end
+/// the lease.
 constexpr int renewals_per_lease = 3;
 
 } // namespace
@@ -19,16 +20,15 @@
         return;
     }
     if (lease_ == 0) {
-        // A grant whose answer is lost leaves a lease that nobody uses; it
-        // ends by itself.
-        call(grant_lease{options_.lease_time}, now, tickets, out);
+        // If the answer is lost, the granted lease stays unused and expires.
+        send_call(grant_lease{options_.lease_time}, now, tickets, out);
     } else {
-        call(keep_lease{lease_}, now, tickets, out);
+        send_call(renew_lease{lease_}, now, tickets, out);
     }
 }
 
-void lease_keeper::call(platform_request request, steady_time now,
-                        std::uint64_t& tickets, command_list& out) {
+void lease_keeper::send_call(platform_request request, steady_time now,
+                             std::uint64_t& tickets, command_list& out) {
     ticket_ = ++tickets;
     sent_at_ = now;
     ++calls_;
@@ -42,10 +42,11 @@
     }
     ticket_ = 0;
     next_call_ = now + options_.retry_delay;
-    const bool is_gone = reply.answer ? reply.answer->time_to_live.count() <= 0
-                                      : reply.answer.reason().code ==
-                                            result_code::lease_not_held;
-    if (is_gone) {
+    const bool has_ended =
+        reply.answer
+            ? reply.answer->time_to_live.count() <= 0
+            : reply.answer.reason().code == result_code::lease_not_held;
+    if (has_ended) {
         forget();
         return true;
     }
@@ -55,11 +56,11 @@
     if (lease_ == 0) {
         lease_ = reply.answer->lease;
     }
-    // The platform counts from when it handled the call, which is later than
-    // when the call was made.
-    const auto lasts =
+    // The platform starts the lease time when it handles the call, which is
+    // after the call was sent, so counting from `sent_at_` is safe.
+    const auto usable_time =
         std::min(reply.answer->time_to_live, options_.lease_time);
-    valid_until_ = sent_at_ + lasts - options_.lease_margin;
+    valid_until_ = sent_at_ + usable_time - options_.lease_margin;
     next_call_ = sent_at_ + options_.lease_time / renewals_per_lease;
     return true;
 }
--- a/servers/control/lease_keeper.hpp
+++ b/servers/control/lease_keeper.hpp
@@ -7,37 +7,39 @@
 
 namespace savorydock {
 
-/// Keeps one platform lease for an instance and knows, by local time alone,
-/// until when it surely lasts. Not thread safe: control thread only.
+/// Acquires and renews one platform lease for an instance. From local time
+/// only, it computes a time until which the lease is certain to be valid. Not
+/// thread safe: control thread only.
 class lease_keeper {
 public:
     explicit lease_keeper(const order_options& options)
         : options_(options) {}
 
-    /// Grants or renews when it is time. `tickets` numbers the calls.
+    /// Requests or renews the lease when that is due. `tickets` is the counter
+    /// that numbers calls.
     void on_tick(steady_time now, std::uint64_t& tickets, command_list& out);
 
-    /// Returns true if the reply was to a call of the keeper.
+    /// Returns true if the reply belongs to a call of this object.
     bool on_platform_reply(const platform_reply& reply, steady_time now);
 
-    /// Gives the lease back.
+    /// Revokes the lease on the platform.
     void release(std::uint64_t& tickets, command_list& out);
 
-    /// The platform says that the lease has ended.
+    /// Clears the lease; called when the platform reports that it has ended.
     void forget();
 
     [[nodiscard]] bool is_valid(steady_time now) const {
         return lease_ != 0 && now < valid_until_;
     }
-    /// The lease ends no earlier than this on the platform.
+    /// The lease does not end on the platform before this time.
     [[nodiscard]] steady_time valid_until() const { return valid_until_; }
-    /// 0 if there is none.
+    /// The id of the lease; 0 if there is none.
     [[nodiscard]] std::uint64_t lease() const { return lease_; }
     [[nodiscard]] std::uint64_t calls() const { return calls_; }
 
 private:
-    void call(platform_request request, steady_time now, std::uint64_t& tickets,
-              command_list& out);
+    void send_call(platform_request request, steady_time now,
+                   std::uint64_t& tickets, command_list& out);
 
     order_options options_;
     std::uint64_t lease_ = 0;
--- a/servers/control/order_holder.hpp
+++ b/servers/control/order_server.hpp
@@ -5,7 +5,7 @@
 #include "servers/control/holder_candidates.hpp"
 #include "servers/control/lease_keeper.hpp"
 #include "servers/control/order_options.hpp"
-#include "servers/control/scope_holder.hpp"
+#include "servers/control/scope_controller.hpp"
 #include "servers/control_server.hpp"
 #include "servers/routing/upstream_state.hpp"
 
@@ -19,7 +19,7 @@
 
 namespace savorydock {
 
-/// What an instance tells operators about one scope.
+/// The state of one scope as operators see it.
 struct scope_status {
     service_name service;
     std::string group;
@@ -29,20 +29,21 @@
     std::uint32_t at_target = 0;
     std::uint32_t ordered = 0;
     std::uint32_t settling = 0;
-    /// Empty unless the roll-out was stopped.
+    /// Empty unless the roll-out has been stopped.
     std::string stop_reason;
 };
 
-/// Becomes the holder of scopes by lease, and orders their upstreams.
+/// Acquires scopes with a lease and sends orders to their upstreams.
 ///
-/// A scope is a service, or one zone's part of a large service. Its holder is
-/// who wrote the scope's key under a living lease; the key's created revision
-/// is the fencing number. One lease serves all scopes of an instance.
-class order_holder final : public control_server {
+/// A scope is a service, or the part of a large service in one zone. Its holder
+/// is the instance that wrote the scope's key with a lease that is still alive.
+/// The created revision of the key is the fencing number. An instance uses one
+/// lease for all its scopes.
+class order_server final : public control_server {
 public:
-    /// Precondition: the chart passes `order_track::check_chart`; chart and
-    /// candidates outlive the holder.
-    order_holder(instance_id self, availability_zone zone,
+    /// Precondition: the chart passes `order_tracker::check_chart`; chart and
+    /// candidates outlive the server.
+    order_server(instance_id self, availability_zone zone,
                  const state_chart& chart, const holder_candidates& candidates,
                  order_options options = {});
 
@@ -59,16 +60,16 @@
     void on_configuration(std::shared_ptr<const configuration_view> view,
                           steady_time now, command_list& out) override;
 
-    /// What membership knows of the upstreams; control thread only.
+    /// Sets the upstream states from membership; control thread only.
     void set_upstream_states(std::shared_ptr<const upstream_state_map> states) {
         states_ = std::move(states);
     }
 
-    /// Gives no more orders, and gives the lease back once none is in flight.
+    /// Stops sending orders, and revokes the lease once none is in flight.
     void begin_drain();
 
     [[nodiscard]] std::vector<scope_status> status() const;
-    /// Calls made so far to the platform, and to upstreams.
+    /// The number of calls so far to the platform and to upstreams.
     [[nodiscard]] std::uint64_t platform_calls() const;
     [[nodiscard]] std::uint64_t upstream_calls() const;
 
@@ -84,36 +85,37 @@
     };
     struct scope {
         explicit scope(const state_chart& chart, const order_options& options)
-            : holder(chart, options) {}
+            : controller(chart, options) {}
 
-        scope_holder holder;
+        scope_controller controller;
         std::uint32_t shard = 0;
         std::uint64_t claim_ticket = 0;
         steady_time claimed_at{};
-        /// Surveys in a row that found no holder.
-        std::uint32_t unheld_surveys = 0;
+        /// Consecutive polls that found no holder.
+        std::uint32_t unheld_polls = 0;
     };
-    /// The reading of the holders' keys of one group.
-    struct survey {
+    /// The periodic read of the holder keys of one group.
+    struct key_poll {
         std::uint64_t ticket = 0;
         steady_time sent_at{};
         steady_time next{};
     };
 
-    [[nodiscard]] bool is_concerned(const std::string& group) const;
+    [[nodiscard]] bool needs_key_poll(const std::string& group) const;
     [[nodiscard]] bool needs_lease() const;
-    void drop_all(command_list& out);
-    void drop(const scope_name& name, scope& held, command_list& out);
-    void send_survey(const std::string& group, survey& plan, steady_time now,
-                     command_list& out);
-    void on_survey(const std::string& group, const platform_answer& answer,
-                   steady_time now, command_list& out);
-    void judge_scope(const scope_name& name, scope& held,
-                     const stored_value* found, steady_time now,
-                     command_list& out);
-    void claim(const scope_name& name, scope& held, steady_time now,
+    void release_all(command_list& out);
+    void release_scope(const scope_name& name, scope& entry, command_list& out);
+    void send_key_poll(const std::string& group, key_poll& poll,
+                       steady_time now, command_list& out);
+    void on_key_poll_reply(const std::string& group,
+                           const platform_answer& answer, steady_time now,
+                           command_list& out);
+    void update_ownership(const scope_name& name, scope& entry,
+                          const stored_value* found, steady_time now,
+                          command_list& out);
+    void claim(const scope_name& name, scope& entry, steady_time now,
                command_list& out);
-    void survey_soon();
+    void poll_keys_soon();
     bool on_claim_reply(const platform_reply& reply, command_list& out);
     void finish_drain(command_list& out);
 
@@ -123,16 +125,16 @@
     const holder_candidates* candidates_;
     order_options options_;
     lease_keeper keeper_;
-    /// The last lease under which a scope was held.
-    std::uint64_t used_lease_ = 0;
+    /// The last lease with which a scope was held.
+    std::uint64_t scope_lease_ = 0;
     bool is_draining_ = false;
     std::map<scope_name, scope> scopes_;
-    std::map<std::string, survey> surveys_;
+    std::map<std::string, key_poll> key_polls_;
     std::shared_ptr<const upstream_state_map> states_;
-    /// All numbers that this process has held.
-    std::set<fencing_number> fencing_numbers_;
+    /// All fencing numbers with which this process has held a scope.
+    std::set<fencing_number> past_fencing_numbers_;
     std::uint64_t tickets_ = 0;
-    std::uint64_t own_platform_calls_ = 0;
+    std::uint64_t poll_and_claim_calls_ = 0;
 };
 
 } // namespace savorydock
--- a/servers/control/order_track.cpp
+++ b/servers/control/order_tracker.cpp
@@ -1,16 +1,16 @@
-#include "servers/control/order_track.hpp"
+#include "servers/control/order_tracker.hpp"
 
 #include <utility>
 
 namespace savorydock {
 
-order_track::order_track(const state_chart& chart, upstream_rule rule,
-                         steady_time settled_at)
+order_tracker::order_tracker(const state_chart& chart, upstream_rule rule,
+                             steady_time settled_at)
     : rule_(std::move(rule))
     , position_(chart)
     , due_(settled_at) {}
 
-outcome<done> order_track::check_chart(const state_chart& chart) {
+outcome<done> order_tracker::check_chart(const state_chart& chart) {
     return chart.require(
         {"settling", "unread", "reading", "ready", "ordered", "superseded"},
         {"settled", "read_sent", "state_read", "still_loading", "read_failed",
@@ -18,8 +18,8 @@
          "order_lost", "fenced"});
 }
 
-order_result order_track::on_tick(steady_time now,
-                                  const order_options& options) {
+order_result order_tracker::on_tick(steady_time now,
+                                    const order_options& options) {
     if (now < due_) {
         return order_result::none;
     }
@@ -31,25 +31,25 @@
     } else if (position_.is_in("ready")) {
         position_.fire("refresh");
     } else if (position_.is_in("ordered")) {
-        return lose(options);
+        return mark_lost(options);
     }
     return order_result::none;
 }
 
-bool order_track::may_read(steady_time now) const {
+bool order_tracker::may_read(steady_time now) const {
     return position_.is_in("unread") && now >= due_;
 }
 
-void order_track::read_sent(std::uint64_t ticket, steady_time now,
-                            const order_options& options) {
+void order_tracker::read_sent(std::uint64_t ticket, steady_time now,
+                              const order_options& options) {
     position_.fire("read_sent");
     ticket_ = ticket;
-    due_ = now + options.handover_time + options.read_timeout;
+    due_ = now + options.max_send_wait + options.read_timeout;
 }
 
-void order_track::order_sent(std::uint64_t ticket, weight_version version,
-                             steady_time not_after,
-                             const order_options& options) {
+void order_tracker::order_sent(std::uint64_t ticket, weight_version version,
+                               steady_time not_after,
+                               const order_options& options) {
     position_.fire("order_sent");
     ticket_ = ticket;
     pending_ = version;
@@ -57,9 +57,9 @@
     due_ = not_after + options.longest_order;
 }
 
-order_result order_track::on_reply(const order_reply& reply, fencing_number own,
-                                   steady_time now,
-                                   const order_options& options) {
+order_result order_tracker::on_reply(const order_reply& reply,
+                                     fencing_number own, steady_time now,
+                                     const order_options& options) {
     if (ticket_ == 0 || reply.ticket != ticket_) {
         return order_result::none;
     }
@@ -69,9 +69,9 @@
                : on_order_answer(reply.answer, now, options);
 }
 
-order_result order_track::on_state(const outcome<std::string>& answer,
-                                   fencing_number own, steady_time now,
-                                   const order_options& options) {
+order_result order_tracker::on_state(const outcome<std::string>& answer,
+                                     fencing_number own, steady_time now,
+                                     const order_options& options) {
     const auto report = answer ? parse_upstream_report(*answer)
                                : outcome<upstream_report>(answer.reason());
     if (!report) {
@@ -91,10 +91,10 @@
     }
     due_ = now + options.refresh_period;
     position_.fire("state_read");
-    return resolve();
+    return resolve_pending();
 }
 
-order_result order_track::resolve() {
+order_result order_tracker::resolve_pending() {
     const weight_version pending = std::exchange(pending_, 0);
     if (pending == 0) {
         return order_result::none;
@@ -103,25 +103,26 @@
                                       : order_result::failed;
 }
 
-order_result order_track::on_order_answer(const outcome<std::string>& answer,
-                                          steady_time now,
-                                          const order_options& options) {
+order_result order_tracker::on_order_answer(const outcome<std::string>& answer,
+                                            steady_time now,
+                                            const order_options& options) {
     if (!answer) {
         return on_refusal(answer.reason(), now, options);
     }
     const auto report = parse_upstream_report(*answer);
     if (!report) {
-        return lose(options);
+        return mark_lost(options);
     }
     report_ = *report;
-    // Its load is soon another than right after the swap.
+    // Reads the state again soon, because the load right after the swap is not
+    // representative.
     due_ = now + options.read_retry_delay;
     position_.fire("order_done");
-    return resolve();
+    return resolve_pending();
 }
 
-order_result order_track::on_refusal(const failure& reason, steady_time now,
-                                     const order_options& options) {
+order_result order_tracker::on_refusal(const failure& reason, steady_time now,
+                                       const order_options& options) {
     due_ = now;
     switch (reason.code) {
     case result_code::fencing_refused:
@@ -140,12 +141,13 @@
         position_.fire("order_unsent");
         return order_result::unsent;
     default:
-        return lose(options);
+        return mark_lost(options);
     }
 }
 
-order_result order_track::lose(const order_options& options) {
-    // A read-back before the order can no longer arrive would prove nothing.
+order_result order_tracker::mark_lost(const order_options& options) {
+    // The state is read only once the order can no longer arrive: an earlier
+    // read can't rule out that it still takes effect.
     ticket_ = 0;
     due_ = not_after_ + options.longest_order;
     position_.fire("order_lost");
--- a/servers/control/order_track.hpp
+++ b/servers/control/order_tracker.hpp
@@ -11,39 +11,41 @@
 
 namespace savorydock {
 
-/// What a reply told about an order to an upstream.
+/// What is known about an order after a reply, a state read or a timeout.
 enum class order_result : std::uint8_t {
-    /// Nothing, or not yet.
+    /// No result, or none yet.
     none,
-    /// The upstream is at the version that was ordered.
+    /// The upstream runs the ordered version.
     done,
-    /// It is not.
+    /// The upstream does not run the ordered version.
     failed,
-    /// It is not, because the weight store had no room.
+    /// The order failed because the weight store had no capacity.
     store_busy,
-    /// No byte of the order was sent.
+    /// Nothing of the order was sent.
     unsent,
-    /// It is not known; the state is read back later.
+    /// The outcome is unknown; the state is read later to find out.
     lost,
-    /// The upstream has seen a newer holder.
+    /// The upstream has seen a higher fencing number, from a newer holder.
     superseded,
 };
 
-/// Where one upstream stands in the chart order_life under one holder.
+/// Tracks the state of one upstream in the state chart order_life, for one
+/// holder.
 ///
-/// At most one order is in flight, and none is given while an earlier one may
-/// still take effect. Not thread safe: control thread only.
-class order_track {
+/// At most one order is in flight, and no order is sent while an earlier one
+/// may still take effect. Not thread safe: control thread only.
+class order_tracker {
 public:
-    /// Orders of others may take effect until `settled_at`. Precondition: the
-    /// chart passes `check_chart` and outlives the track.
-    order_track(const state_chart& chart, upstream_rule rule,
-                steady_time settled_at);
+    /// Orders of earlier holders may take effect until `settled_at`.
+    /// Precondition: the
+    /// chart passes `check_chart` and outlives the tracker.
+    order_tracker(const state_chart& chart, upstream_rule rule,
+                  steady_time settled_at);
 
     /// Errors: `invalid_chart`.
     [[nodiscard]] static outcome<done> check_chart(const state_chart& chart);
 
-    /// Lets time pass; returns `lost` if an order was given up on.
+    /// Handles timeouts; returns `lost` if an order was not answered in time.
     order_result on_tick(steady_time now, const order_options& options);
 
     [[nodiscard]] bool may_read(steady_time now) const;
@@ -54,16 +56,17 @@
     void order_sent(std::uint64_t ticket, weight_version version,
                     steady_time not_after, const order_options& options);
 
-    /// Takes the answer to the read or order of `ticket`.
+    /// Handles the answer to the state read or order with the current ticket;
+    /// ignores others. `own` is the fencing number of this holder.
     order_result on_reply(const order_reply& reply, fencing_number own,
                           steady_time now, const order_options& options);
 
     [[nodiscard]] const upstream_rule& rule() const { return rule_; }
     [[nodiscard]] const upstream_report& report() const { return report_; }
     [[nodiscard]] const std::string& state() const { return position_.state(); }
-    /// The version of an order whose outcome is not known; 0 if none.
+    /// The version of the order whose outcome is not known yet; 0 if none.
     [[nodiscard]] weight_version pending() const { return pending_; }
-    /// The ticket of the call that is waited for; 0 if none.
+    /// The ticket of the call in flight; 0 if none.
     [[nodiscard]] std::uint64_t ticket() const { return ticket_; }
 
 private:
@@ -74,18 +77,19 @@
                                  steady_time now, const order_options& options);
     order_result on_refusal(const failure& reason, steady_time now,
                             const order_options& options);
-    order_result lose(const order_options& options);
-    /// Says what became of the pending order, if there is one.
-    order_result resolve();
+    order_result mark_lost(const order_options& options);
+    /// Ends the pending order, if there is one, and returns its result from
+    /// the version in the last report.
+    order_result resolve_pending();
 
     upstream_rule rule_;
     chart_position position_;
     upstream_report report_;
     weight_version pending_ = 0;
     std::uint64_t ticket_ = 0;
-    /// When the state or the answer to wait for is due.
+    /// When the current chart state times out or its next action is due.
     steady_time due_{};
-    /// The last moment at which the order may have reached the socket.
+    /// The latest time at which the order may have been written to the socket.
     steady_time not_after_{};
 };
 
--- a/servers/control/upstream_report.cpp
+++ b/servers/control/upstream_report.cpp
@@ -9,7 +9,7 @@
 
 namespace json = boost::json;
 
-std::uint64_t number_of(const json::object& object, std::string_view name) {
+std::uint64_t read_number(const json::object& object, std::string_view name) {
     const json::value* const found = object.if_contains(name);
     if (found == nullptr) {
         return 0;
@@ -32,10 +32,11 @@
         return failure{result_code::invalid_json, "not an upstream's state"};
     }
     upstream_report report{
-        .version = number_of(*object, "version"),
-        .loading = number_of(*object, "loading"),
-        .fencing = number_of(*object, "fencing"),
-        .load = number_of(*object, "running") + number_of(*object, "waiting"),
+        .version = read_number(*object, "version"),
+        .loading = read_number(*object, "loading"),
+        .fencing = read_number(*object, "fencing"),
+        .load =
+            read_number(*object, "running") + read_number(*object, "waiting"),
     };
     const json::value* const role = object->if_contains("role");
     if (role != nullptr && role->is_string()) {
--- a/servers/control_server.hpp
+++ b/servers/control_server.hpp
@@ -19,7 +19,8 @@
 
 class configuration_view;
 
-/// The subsystem that a message between instances is for.
+/// The subsystem that a message between instances belongs to. The values are
+/// sent between instances.
 enum class peer_topic : std::uint8_t {
     configuration = 1,
     membership = 2,
@@ -38,8 +39,8 @@
     job_notice = 15,
 };
 
-/// A message between two instances. `body` is a described struct of the
-/// topic's own, in the form of core/wire_codec.hpp.
+/// A message between two instances. `body` is a struct of the topic, encoded as
+/// core/wire_codec.hpp defines.
 struct peer_message {
     instance_id from;
     instance_id to;
@@ -47,17 +48,18 @@
     std::string body;
 };
 
-/// What traffic saw of an upstream; the direct evidence about its health.
+/// The outcome of a request to an upstream: direct evidence of its health.
 enum class upstream_evidence : std::uint8_t {
     answered,
     answered_slowly,
     refused_connection,
     connection_lost,
     timed_out,
-    said_leaving,
-    said_overloaded,
+    reported_leaving,
+    reported_overloaded,
 };
 
+/// The evidence from one request that was sent to an upstream.
 struct upstream_observation {
     service_name service;
     upstream_id upstream;
@@ -66,40 +68,42 @@
     std::chrono::microseconds latency{0};
 };
 
-/// Whether a call to an upstream orders something or only reads its state.
+/// Whether a call to an upstream sends an order or only reads its state.
 enum class order_method : std::uint8_t {
-    /// POST with the body.
-    give,
+    /// POST with a body.
+    send_order,
     /// GET without a body.
     read_state,
 };
 
-/// An order to an upstream: absolute ("be at this state"), never relative.
+/// A call to an upstream. Orders are absolute: they name the state to reach,
+/// never a change relative to the current state.
 ///
-/// The runtime compares `not_after` with the clock right before it hands the
-/// bytes to the socket and drops an order that is past it, because the lease
-/// that allows the order ends then.
+/// The runtime checks `not_after` right before it writes to the socket. It
+/// drops a call whose `not_after` has passed, because the lease that permits it
+/// may have ended by then.
 struct upstream_order {
     std::uint64_t ticket = 0;
-    order_method method = order_method::give;
+    order_method method = order_method::send_order;
     service_name service;
     upstream_id upstream;
     endpoint address;
     fencing_number fencing = 0;
-    /// The path and the JSON body of the order.
+    /// The HTTP path and the JSON body.
     std::string path;
     std::string body;
-    /// The last moment at which bytes may be handed to the socket.
+    /// The latest time at which the call may be written to the socket.
     steady_time not_after{};
-    /// How long the runtime waits for the answer after that.
+    /// How long the runtime waits for the answer after `not_after`.
     std::chrono::milliseconds timeout{0};
 };
 
-/// What became of an order; `answer` is the JSON that the upstream sent.
-/// Failures: `lease_not_held` if the runtime dropped it past `not_after`,
-/// `not_run_no_upstream` if no connection came about, `fencing_refused` with
-/// the body of a 409, `failed_by_upstream` with the body of any other refusal,
-/// `order_unknown` if bytes were sent and no whole answer came.
+/// The result of an `upstream_order`. `answer` is the JSON from the upstream.
+/// Failures: `lease_not_held` if the runtime dropped the call after
+/// `not_after`, `not_run_no_upstream` if it could not connect,
+/// `fencing_refused` with the body of a 409 response, `failed_by_upstream` with
+/// the body of any other error response, `order_unknown` if bytes were sent but
+/// no complete answer arrived.
 struct order_reply {
     std::uint64_t ticket = 0;
     outcome<std::string> answer;
@@ -110,28 +114,29 @@
     std::string detail;
 };
 
-/// Something that a control server wants done. The runtime carries it out.
+/// An action that a control server requests and the runtime carries out.
 using control_command =
     std::variant<peer_message, platform_call, upstream_order, log_command>;
 
 using command_list = std::vector<control_command>;
 
-/// One subsystem on the control thread: event and time in, commands out.
+/// One subsystem on the control thread. It takes events and the current time,
+/// and returns commands.
 ///
-/// Threading: every method is called on the control thread only; none may
+/// Threading: all methods are called on the control thread only. They must not
 /// block, start a thread or read a clock. Implementations are deterministic
-/// but for the random source they are given.
+/// except for the random source that they are given.
 class control_server {
 public:
     virtual ~control_server() = default;
 
-    /// The topic whose messages the server gets.
+    /// The topic whose messages this server receives.
     [[nodiscard]] virtual peer_topic topic() const = 0;
 
     /// Called several times a second.
     virtual void on_tick(steady_time now, command_list& out) = 0;
 
-    /// A message from another instance; its body is not trusted.
+    /// Handles a message from another instance. The body is untrusted input.
     virtual void on_peer_message(const peer_message& message, steady_time now,
                                  command_list& out) {
         static_cast<void>(message);
@@ -139,7 +144,7 @@
         static_cast<void>(out);
     }
 
-    /// The answer to a platform call that this server made.
+    /// Handles the answer to a platform call of this server.
     virtual void on_platform_reply(const platform_reply& reply, steady_time now,
                                    command_list& out) {
         static_cast<void>(reply);
@@ -147,7 +152,7 @@
         static_cast<void>(out);
     }
 
-    /// The answer to an order that this server sent.
+    /// Handles the answer to a call that this server made to an upstream.
     virtual void on_order_reply(const order_reply& reply, steady_time now,
                                 command_list& out) {
         static_cast<void>(reply);
@@ -155,7 +160,7 @@
         static_cast<void>(out);
     }
 
-    /// What traffic saw of an upstream.
+    /// Handles the evidence from one request to an upstream.
     virtual void on_observation(const upstream_observation& observation,
                                 steady_time now, command_list& out) {
         static_cast<void>(observation);
@@ -163,7 +168,7 @@
         static_cast<void>(out);
     }
 
-    /// A new set of services is in force on this instance.
+    /// Handles a new set of services that took effect on this instance.
     virtual void
     on_configuration(std::shared_ptr<const configuration_view> view,
                      steady_time now, command_list& out) {
--- a/servers/membership/upstream_health.cpp
+++ b/servers/membership/upstream_health.cpp
@@ -78,14 +78,14 @@
     switch (observation.evidence) {
     case upstream_evidence::answered:
     case upstream_evidence::answered_slowly:
-    case upstream_evidence::said_overloaded:
+    case upstream_evidence::reported_overloaded:
         return note_answer(key, now, out);
     case upstream_evidence::refused_connection:
         return note_failure(key, refused_weight, now, out);
     case upstream_evidence::connection_lost:
     case upstream_evidence::timed_out:
         return note_failure(key, lost_weight, now, out);
-    case upstream_evidence::said_leaving:
+    case upstream_evidence::reported_leaving:
         return note_said_leaving(key, list_revision, now, out);
     }
 }
--- a/servers/platform/platform_message.hpp
+++ b/servers/platform/platform_message.hpp
@@ -12,7 +12,7 @@
 
 namespace savorydock {
 
-/// One key of the platform's store as read.
+/// One key of the platform's store with its value.
 struct stored_value {
     std::string key;
     std::string value;
@@ -21,17 +21,18 @@
     std::uint64_t lease = 0;
 };
 
-/// Reads the key, or with `is_prefix` all keys that begin with it. Values last
-/// modified before `min_modified` are left out.
+/// Reads one key, or with `is_prefix` all keys that begin with it. Values last
+/// modified before `min_modified` are omitted.
 struct read_range {
     std::string key;
     bool is_prefix = false;
     store_revision min_modified = 0;
 };
 
-/// Writes `value` if the key's last revision is `expected` (0: no such key).
-/// With a lease the key vanishes when the lease ends. The answer's revision is
-/// that of the write; if it did not take effect, `values` has the current one.
+/// Writes `value` if the key was last modified at revision `expected` (0: the
+/// key does not exist). With a lease, the key is deleted when the lease ends.
+/// The revision of the answer is that of the write. If the write did not take
+/// effect, `values` contains the current value.
 struct compare_and_swap {
     std::string key;
     store_revision expected = 0;
@@ -43,7 +44,7 @@
     std::chrono::seconds time_to_live{0};
 };
 
-struct keep_lease {
+struct renew_lease {
     std::uint64_t lease = 0;
 };
 
@@ -51,40 +52,41 @@
     std::uint64_t lease = 0;
 };
 
-/// Waits for changes of keys that begin with `prefix`, from `start` on. The
-/// reply comes with the first changes, or empty when the watch times out; the
-/// caller then calls again.
+/// Waits for changes of keys that begin with `prefix`, from revision `start`
+/// on. The reply has the first changes, or is empty if the watch times out. To
+/// continue, the caller sends a new watch.
 struct watch_prefix {
     std::string prefix;
     store_revision start = 0;
 };
 
 using platform_request = std::variant<read_range, compare_and_swap, grant_lease,
-                                      keep_lease, revoke_lease, watch_prefix>;
+                                      renew_lease, revoke_lease, watch_prefix>;
 
-/// What the platform's store answered.
+/// The answer of the platform's store.
 struct platform_answer {
     /// The revision of the whole store at the time of the answer.
     store_revision revision = 0;
-    /// Of a compare-and-swap: it took effect.
+    /// Compare-and-swap only: the write took effect.
     bool has_swapped = false;
     std::vector<stored_value> values;
-    /// Keys that a watch saw deleted.
+    /// Watch only: the keys that were deleted.
     std::vector<std::string> deleted;
     std::uint64_t lease = 0;
     std::chrono::seconds time_to_live{0};
-    /// Of a watch: `start` is compacted away, read the range instead.
+    /// Watch only: revision `start` has been compacted, so the caller must read
+    /// the range instead.
     bool is_compacted = false;
 };
 
-/// A call to the platform. Tickets are the caller's own.
+/// A call to the platform. The caller chooses the ticket.
 struct platform_call {
     std::uint64_t ticket = 0;
     platform_request request;
 };
 
-/// A failed answer is `platform_unreachable`: a write may or may not have
-/// taken effect.
+/// The reply to the call with the same ticket. After `platform_unreachable`, a
+/// write may or may not have taken effect.
 struct platform_reply {
     std::uint64_t ticket = 0;
     outcome<platform_answer> answer;
--- a/servers/routing/upstream_counters.cpp
+++ b/servers/routing/upstream_counters.cpp
@@ -34,7 +34,7 @@
     while (held > 0 && !in_flight_.compare_exchange_weak(
                            held, held - 1, std::memory_order_relaxed)) {
     }
-    if (evidence == upstream_evidence::said_leaving) {
+    if (evidence == upstream_evidence::reported_leaving) {
         leaving_publications_.store(leaving_hold_publications,
                                     std::memory_order_relaxed);
     }
--- a/servers/weights/rollout_goal.hpp
+++ b/servers/weights/rollout_goal.hpp
@@ -8,58 +8,66 @@
 
 namespace savorydock {
 
-/// What a roll-out is to reach and what bounds it; from the document.
+/// The target and limits of a roll-out, from the service document.
 struct rollout_goal {
     service_name service;
-    /// The version that upstreams should run; 0 leaves them alone.
+    /// The version that upstreams should run; 0: no roll-out.
     weight_version target = 0;
-    /// Upstreams at up to this version may be ordered back to `target`.
+    /// Upstreams at this version or lower may be moved back to `target`.
     weight_version rollback_from = 0;
-    /// The fraction of upstreams that must stay in service.
+    /// The fraction of upstreams that must keep serving.
     double capacity_floor = 0.5;
-    /// 0 weighs staleness only, 1 weighs trainer idle time only.
+    /// 0 considers only staleness, 1 considers only the idle time of trainers.
     double idle_weight = 0.5;
-    /// Fetches from the store at once for these upstreams; 0: not known.
+    /// Maximum concurrent fetches from the weight store by these upstreams; 0:
+    /// no known limit.
     std::uint32_t fetches_at_once = 0;
 
     bool operator==(const rollout_goal&) const = default;
 };
 
-/// One upstream as a roll-out sees it.
+/// The state of one upstream that a roll-out plans with.
 struct rollout_upstream {
     upstream_id name;
     upstream_condition condition = upstream_condition::serving;
-    /// The version that it read back last.
+    /// The version in its last state report.
     weight_version version = 0;
-    /// An order to it is in flight or has no known outcome.
+    /// An order to it is in flight, or its outcome is unknown.
     bool is_ordered = false;
-    /// Its state has been read back and it may be ordered.
+    /// Its state has been read, and an order may be sent.
     bool is_ready = false;
-    /// Busy slots as a fraction of all its slots.
+    /// Requests that run or wait on it as a fraction of its slots; may be above
+    /// 1.
     double load = 0;
 };
 
 /// Why a swap failed.
 enum class swap_failure : std::uint8_t {
-    /// The weight store had no room; nobody is to blame.
+    /// The weight store had no capacity; not a fault of the upstream or the
+    /// version.
     store_busy,
     /// The upstream could not load the version.
     upstream_failed,
 };
 
 struct rollout_options {
-    /// Failed swaps after which an upstream is left out of a version.
+    /// Failed swaps after which an upstream is left out of the roll-out of a
+    /// version.
     std::uint32_t max_attempts = 3;
     std::chrono::milliseconds first_backoff{2'000};
     std::chrono::milliseconds longest_backoff{60'000};
-    /// How long the word about an upstream may lag behind its swap.
+    /// How long after a swap the reports about an upstream may still be about
+    /// the time before it.
     std::chrono::milliseconds settle_time{10'000};
-    /// Upstreams that must have failed before a roll-out is stopped.
+    /// Minimum number of failed upstreams before a roll-out is stopped.
     std::uint32_t min_failed_upstreams = 2;
-    /// Answers that a group must have before its error rate counts.
+    /// Minimum number of answers and failures of the swapped upstreams before
+    /// their error rate counts.
     std::uint32_t min_answers = 20;
-    /// How far the swapped ones' rate may lie over that of the others.
+    /// By how much the error rate of swapped upstreams may exceed that of the
+    /// others.
     double max_rate_excess = 0.1;
+    /// The same for the fraction of upstreams that crashed.
     double max_crash_excess = 0.2;
 };
 
--- a/servers/weights/rollout_health.cpp
+++ b/servers/weights/rollout_health.cpp
@@ -13,43 +13,43 @@
 }
 
 void rollout_health::swap_done(const upstream_id& upstream, steady_time now) {
-    // What it did before the swap says nothing about the new version, but a
-    // crash after an earlier swap to the same version does.
-    record& seen = records_[upstream];
-    const bool has_crashed = seen.is_swapped && seen.has_crashed;
-    seen = {.is_swapped = true, .swapped_at = now, .has_crashed = has_crashed};
+    // Observations from before the swap say nothing about the new version, but
+    // a crash after an earlier swap to the same version counts.
+    record& entry = records_[upstream];
+    const bool has_crashed = entry.is_swapped && entry.has_crashed;
+    entry = {.is_swapped = true, .swapped_at = now, .has_crashed = has_crashed};
 }
 
 void rollout_health::swap_failed(const upstream_id& upstream) {
     records_[upstream].has_failed_swap = true;
 }
 
-bool rollout_health::is_settled(const record& seen, steady_time now) const {
-    return !seen.is_swapped || seen.has_served ||
-           now - seen.swapped_at >= options_.settle_time;
+bool rollout_health::is_settled(const record& entry, steady_time now) const {
+    return !entry.is_swapped || entry.has_served ||
+           now - entry.swapped_at >= options_.settle_time;
 }
 
 void rollout_health::observe(const upstream_id& upstream,
                              upstream_evidence evidence, steady_time now) {
-    record& seen = records_[upstream];
+    record& entry = records_[upstream];
     switch (evidence) {
     case upstream_evidence::answered:
     case upstream_evidence::answered_slowly:
-        seen.has_served = true;
-        ++seen.answered;
+        entry.has_served = true;
+        ++entry.answered;
         break;
     case upstream_evidence::refused_connection:
     case upstream_evidence::connection_lost:
-        if (is_settled(seen, now)) {
-            seen.has_crashed = true;
-            ++seen.failed;
+        if (is_settled(entry, now)) {
+            entry.has_crashed = true;
+            ++entry.failed;
         }
         break;
     case upstream_evidence::timed_out:
-        seen.failed += is_settled(seen, now) ? 1 : 0;
+        entry.failed += is_settled(entry, now) ? 1 : 0;
         break;
-    case upstream_evidence::said_leaving:
-    case upstream_evidence::said_overloaded:
+    case upstream_evidence::reported_leaving:
+    case upstream_evidence::reported_overloaded:
         break;
     }
 }
@@ -64,8 +64,8 @@
         }
     }
     if (condition == upstream_condition::suspected) {
-        record& seen = records_[upstream];
-        seen.has_crashed = seen.has_crashed || is_settled(seen, now);
+        record& entry = records_[upstream];
+        entry.has_crashed = entry.has_crashed || is_settled(entry, now);
     }
 }
 
@@ -85,16 +85,16 @@
     group others;
     std::uint32_t failed_swaps = 0;
     std::uint32_t done_swaps = 0;
-    for (const auto& [name, seen] : records_) {
-        group& sums = seen.is_swapped ? swapped : others;
-        ++sums.upstreams;
-        sums.crashed += seen.has_crashed ? 1 : 0;
-        sums.answered += seen.answered;
-        sums.failed += seen.failed;
-        failed_swaps += seen.has_failed_swap ? 1 : 0;
-        done_swaps += seen.is_swapped ? 1 : 0;
+    for (const auto& [name, entry] : records_) {
+        group& counts = entry.is_swapped ? swapped : others;
+        ++counts.upstreams;
+        counts.crashed += entry.has_crashed ? 1 : 0;
+        counts.answered += entry.answered;
+        counts.failed += entry.failed;
+        failed_swaps += entry.has_failed_swap ? 1 : 0;
+        done_swaps += entry.is_swapped ? 1 : 0;
     }
-    // Upstreams that nothing was seen of belong to the others, too.
+    // Upstreams without any observation belong to the others as well.
     others.upstreams = static_cast<std::uint32_t>(total) - swapped.upstreams;
     if (swapped.crashed >= options_.min_failed_upstreams &&
         swapped.crash_rate() >
--- a/servers/weights/rollout_health.hpp
+++ b/servers/weights/rollout_health.hpp
@@ -10,30 +10,31 @@
 
 namespace savorydock {
 
-/// Compares the upstreams that a roll-out swapped with those it has yet to
-/// swap. Not thread safe: control thread only.
+/// Compares the health of the upstreams that a roll-out has swapped with that
+/// of the others. Not thread safe: control thread only.
 class rollout_health {
 public:
     explicit rollout_health(const rollout_options& options)
         : options_(options) {}
 
-    /// Forgets everything: a new version is rolled out.
+    /// Clears all records, for the roll-out of a new version.
     void clear() { records_.clear(); }
 
     void swap_done(const upstream_id& upstream, steady_time now);
     void swap_failed(const upstream_id& upstream);
-    /// What traffic saw. Precondition, here and below: no order to the
-    /// upstream is in flight, for it is out while it swaps.
+    /// Records the evidence from a request. Precondition, here and below: no
+    /// order to the upstream is in flight, because an upstream is out of
+    /// service while it swaps.
     void observe(const upstream_id& upstream, upstream_evidence evidence,
                  steady_time now);
     void observe_condition(const upstream_id& upstream,
                            upstream_condition condition, steady_time now);
-    /// The upstream reads back an old version. Returns true once for each
-    /// swap that it has undone, as a crash does.
+    /// Records that the upstream reports an old version. Returns true once per
+    /// swap that it reverted, for example because it crashed and restarted.
     [[nodiscard]] bool observe_old_version(const upstream_id& upstream);
 
-    /// Why the roll-out over `total` upstreams must stop; empty if it need
-    /// not.
+    /// Why the roll-out over `total` upstreams must stop; empty if it may
+    /// continue.
     [[nodiscard]] std::string reason_to_stop(std::size_t total) const;
 
 private:
@@ -47,7 +48,7 @@
         std::uint32_t answered = 0;
         std::uint32_t failed = 0;
     };
-    /// The sums over one of the two groups.
+    /// The totals of the swapped upstreams, or of the others.
     struct group {
         std::uint32_t upstreams = 0;
         std::uint32_t crashed = 0;
@@ -58,8 +59,9 @@
         [[nodiscard]] double error_rate() const;
     };
 
-    /// Whether a failure may be blamed on the version now loaded.
-    [[nodiscard]] bool is_settled(const record& seen, steady_time now) const;
+    /// Whether a failure now may be attributed to the loaded version, and not
+    /// to the swap itself.
+    [[nodiscard]] bool is_settled(const record& entry, steady_time now) const;
 
     rollout_options options_;
     std::unordered_map<upstream_id, record> records_;
--- a/servers/weights/rollout_planner.cpp
+++ b/servers/weights/rollout_planner.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Versions behind the target beyond which more lag adds no urgency.
-constexpr double full_lag = 8;
-/// Put before all others: it missed the version before this one, too.
+/// The lag in versions above which more lag adds no urgency.
+constexpr double max_counted_lag = 8;
+/// Added for an upstream that is more than one version behind, so that it comes
+/// before all others: without the bonus, urgency is at most 1.
 constexpr double missed_version_urgency = 2;
 constexpr std::uint32_t max_backoff_doublings = 10;
 
@@ -71,17 +72,17 @@
 std::vector<std::size_t>
 rollout_planner::plan(std::span<const rollout_upstream> upstreams,
                       steady_time now, command_list& out) {
-    const capacity sums = count(upstreams);
-    last_ordered_ = sums.ordered;
+    const upstream_counts counts = count(upstreams);
+    last_ordered_ = counts.ordered;
     if (goal_.target == 0 || is_finished_) {
-        // An upstream that came back at an old version reopens the roll-out.
-        is_finished_ = goal_.target == 0 || sums.pending == 0;
+        // An upstream that restarts with an old version reopens the roll-out.
+        is_finished_ = goal_.target == 0 || counts.pending == 0;
     }
     if (is_finished_) {
         return {};
     }
-    judge_health(upstreams, now, out);
-    report_end(sums, out);
+    check_health(upstreams, now, out);
+    finish_if_done(counts, out);
     if (is_stopped() || is_finished_) {
         return {};
     }
@@ -97,8 +98,8 @@
                   const double second = urgency(upstreams[right]);
                   return first != second ? first > second : left < right;
               });
-    std::size_t store = store_room(sums.ordered);
-    std::size_t room = wave_room(sums, upstreams.size());
+    std::size_t store = store_capacity(counts.ordered);
+    std::size_t room = wave_capacity(counts, upstreams.size());
     std::vector<std::size_t> chosen;
     for (const std::size_t candidate : candidates) {
         const bool is_serving =
@@ -109,7 +110,7 @@
         if (is_serving && room == 0) {
             continue;
         }
-        // One that serves nobody costs no capacity.
+        // Swapping an upstream that does not serve costs no capacity.
         room -= is_serving ? 1 : 0;
         --store;
         chosen.push_back(candidate);
@@ -117,62 +118,65 @@
     return chosen;
 }
 
-rollout_planner::capacity
+rollout_planner::upstream_counts
 rollout_planner::count(std::span<const rollout_upstream> upstreams) const {
-    capacity sums;
+    upstream_counts counts;
     for (const rollout_upstream& upstream : upstreams) {
         if (upstream.is_ordered) {
-            ++sums.ordered;
+            ++counts.ordered;
         } else if (upstream.condition == upstream_condition::serving) {
-            ++sums.serving;
-            sums.busy += upstream.load;
+            ++counts.serving;
+            counts.busy += upstream.load;
         }
-        const bool may_come = upstream.condition != upstream_condition::leaving;
-        if (may_come && needs_order(upstream.version) &&
+        const bool may_be_ordered =
+            upstream.condition != upstream_condition::leaving;
+        if (may_be_ordered && needs_order(upstream.version) &&
             !is_left_out(upstream.name)) {
-            ++sums.pending;
+            ++counts.pending;
         }
     }
-    return sums;
+    return counts;
 }
 
-std::size_t rollout_planner::wave_room(const capacity& sums,
-                                       std::size_t total) const {
+std::size_t rollout_planner::wave_capacity(const upstream_counts& counts,
+                                           std::size_t total) const {
     const auto floor = static_cast<std::size_t>(
         std::ceil(goal_.capacity_floor * static_cast<double>(total)));
-    if (sums.serving <= floor) {
-        // Too few upstreams to meet the floor at all: one at a time.
-        const bool is_whole = sums.serving == total;
+    if (counts.serving <= floor) {
+        // There are too few upstreams to keep the floor during a swap, so they
+        // are swapped one at a time.
+        const bool is_whole = counts.serving == total;
         return is_whole && goal_.capacity_floor < 1 ? 1 : 0;
     }
-    const std::size_t room = sums.serving - floor;
-    const auto needed = static_cast<std::size_t>(std::ceil(sums.busy));
-    const std::size_t spare = sums.serving > needed ? sums.serving - needed : 0;
-    const auto allowed = static_cast<double>(room + sums.ordered);
+    const std::size_t room = counts.serving - floor;
+    const auto needed = static_cast<std::size_t>(std::ceil(counts.busy));
+    const std::size_t spare =
+        counts.serving > needed ? counts.serving - needed : 0;
+    const auto allowed = static_cast<double>(room + counts.ordered);
     const auto idle =
-        std::min(allowed, static_cast<double>(spare + sums.ordered));
-    const double mixed = allowed + (goal_.idle_weight * (idle - allowed));
-    const auto wave =
-        std::max<std::size_t>(1, static_cast<std::size_t>(std::lround(mixed)));
-    return wave > sums.ordered ? std::min(room, wave - sums.ordered) : 0;
+        std::min(allowed, static_cast<double>(spare + counts.ordered));
+    const double wave_size = allowed + (goal_.idle_weight * (idle - allowed));
+    const auto wave = std::max<std::size_t>(
+        1, static_cast<std::size_t>(std::lround(wave_size)));
+    return wave > counts.ordered ? std::min(room, wave - counts.ordered) : 0;
 }
 
-std::size_t rollout_planner::store_room(std::size_t ordered) const {
-    std::size_t width = std::numeric_limits<std::size_t>::max();
+std::size_t rollout_planner::store_capacity(std::size_t ordered) const {
+    std::size_t limit = std::numeric_limits<std::size_t>::max();
     if (goal_.fetches_at_once != 0) {
-        width = goal_.fetches_at_once;
+        limit = goal_.fetches_at_once;
     }
-    if (store_width_ != 0) {
-        width = std::min(width, store_width_);
+    if (store_limit_ != 0) {
+        limit = std::min(limit, store_limit_);
     }
-    return width > ordered ? width - ordered : 0;
+    return limit > ordered ? limit - ordered : 0;
 }
 
 double rollout_planner::urgency(const rollout_upstream& upstream) const {
     const bool is_behind = upstream.version < goal_.target;
     const double lag =
         is_behind ? static_cast<double>(goal_.target - upstream.version) : 1;
-    const double staleness = std::min(lag, full_lag) / full_lag;
+    const double staleness = std::min(lag, max_counted_lag) / max_counted_lag;
     const double idleness = 1 - std::min(upstream.load, 1.0);
     return ((1 - goal_.idle_weight) * staleness) +
            (goal_.idle_weight * idleness) +
@@ -198,18 +202,18 @@
         return;
     }
     health_.swap_done(upstream, now);
-    if (store_width_ != 0) {
-        ++store_width_;
+    if (store_limit_ != 0) {
+        ++store_limit_;
     }
 }
 
 void rollout_planner::swap_failed(const upstream_id& upstream, swap_failure why,
                                   steady_time now, command_list& out) {
     attempt_record& record = attempts_[upstream];
-    ++record.delays;
-    record.not_before = now + backoff(options_, record.delays);
+    ++record.backoffs;
+    record.not_before = now + backoff(options_, record.backoffs);
     if (why == swap_failure::store_busy) {
-        store_width_ = std::max<std::size_t>(1, last_ordered_ / 2);
+        store_limit_ = std::max<std::size_t>(1, last_ordered_ / 2);
         return;
     }
     health_.swap_failed(upstream);
@@ -229,7 +233,7 @@
     }
 }
 
-void rollout_planner::judge_health(std::span<const rollout_upstream> upstreams,
+void rollout_planner::check_health(std::span<const rollout_upstream> upstreams,
                                    steady_time now, command_list& out) {
     if (is_stopped()) {
         return;
@@ -250,8 +254,9 @@
     }
 }
 
-void rollout_planner::report_end(const capacity& sums, command_list& out) {
-    if (sums.pending != 0 || is_stopped()) {
+void rollout_planner::finish_if_done(const upstream_counts& counts,
+                                     command_list& out) {
+    if (counts.pending != 0 || is_stopped()) {
         return;
     }
     is_finished_ = true;
--- a/tests/bench/batch_engine.cpp
+++ b/tests/bench/batch_engine.cpp
@@ -106,7 +106,7 @@
 void batch_engine::submit(engine_run run) {
     if (is_down_ || is_swapping_) {
         run.on_end({is_down_ ? upstream_evidence::refused_connection
-                             : upstream_evidence::said_overloaded});
+                             : upstream_evidence::reported_overloaded});
         return;
     }
     advance();
--- a/tests/bench/decider.cpp
+++ b/tests/bench/decider.cpp
@@ -207,7 +207,7 @@
         setting_.engines[*engine]->cancel(ticket);
         router_.finish(setting_.document->service,
                        setting_.document->upstreams[*engine].name,
-                       upstream_evidence::said_overloaded, {});
+                       upstream_evidence::reported_overloaded, {});
     }
     calls_.erase(found);
     if (setting_.policy.has_admission && !admission_.cancel(ticket)) {
--- a/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
+++ b/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
@@ -168,11 +168,11 @@
     ASSERT_TRUE(call(compare_and_swap{
         .key = "/l", .value = "held", .lease = granted->lease}));
     EXPECT_EQ(platform_.find("/l")->lease, granted->lease);
-    EXPECT_TRUE(call(keep_lease{granted->lease}));
+    EXPECT_TRUE(call(renew_lease{granted->lease}));
     EXPECT_TRUE(call(revoke_lease{granted->lease}));
     EXPECT_FALSE(platform_.find("/l"));
     for (const platform_request& request :
-         {platform_request(keep_lease{granted->lease}),
+         {platform_request(renew_lease{granted->lease}),
           platform_request(revoke_lease{granted->lease}),
           platform_request(compare_and_swap{
               .key = "/l", .value = "late", .lease = granted->lease})}) {
--- a/tests/servers/control/order_model_test.cpp
+++ b/tests/servers/control/order_model_test.cpp
@@ -1,5 +1,5 @@
 #include "core/text_file.hpp"
-#include "servers/control/order_track.hpp"
+#include "servers/control/order_tracker.hpp"
 
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
 };
 
 TEST_F(order_model_test, chart_has_what_the_code_relies_on) {
-    const auto checked = order_track::check_chart(chart_);
+    const auto checked = order_tracker::check_chart(chart_);
     EXPECT_TRUE(checked) << checked.reason().detail;
 }
 
--- a/tests/servers/control/order_world.hpp
+++ b/tests/servers/control/order_simulation.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/state_chart.hpp"
-#include "servers/control/order_holder.hpp"
+#include "servers/control/order_server.hpp"
 #include "tests/fakes/fake_platform_store.hpp"
 
 #include <boost/json.hpp>
@@ -18,14 +18,15 @@
 
 namespace savorydock {
 
-/// An upstream as the world of the tests has it.
-struct world_upstream {
+/// An upstream in the simulation.
+struct simulated_upstream {
     upstream_rule rule;
     weight_version version = 1;
     weight_version loading = 0;
     fencing_number fencing = 0;
-    /// The newest order that took effect: holder's number, then its ticket.
+    /// The newest order that took effect: fencing number and ticket.
     std::pair<fencing_number, std::uint64_t> newest{};
+    /// Orders that took effect after a newer one.
     std::uint32_t overtaken = 0;
     std::uint32_t swaps_to_fail = 0;
     std::vector<steady_time> ordered_at;
@@ -33,25 +34,26 @@
 };
 
 enum class call_fault : std::uint8_t { none, lost_answer, lost_call, slow };
-enum class order_fault : std::uint8_t { none, lost_answer, late, doubled };
+enum class order_fault : std::uint8_t { none, lost_answer, late, duplicated };
 
-/// Order holders, the platform's store and upstreams in virtual time. The
-/// faults of calls and orders are asked for one by one.
-class order_world : public holder_candidates {
+/// Order servers, the platform's store and upstreams in virtual time. The
+/// functions `next_call_fault` and `next_order_fault` choose the fault of each
+/// call and order.
+class order_simulation : public holder_candidates {
 public:
     static constexpr std::chrono::milliseconds step{200};
     static constexpr std::chrono::seconds call_deadline{5};
     static constexpr std::chrono::seconds swap_time{2};
 
     struct node {
-        std::unique_ptr<order_holder> holder;
+        std::unique_ptr<order_server> server;
         steady_time paused_until{};
         bool is_stopped = false;
         command_list outbox;
         std::deque<std::function<void()>> inbox;
     };
 
-    explicit order_world(std::size_t count)
+    explicit order_simulation(std::size_t count)
         : chart(*state_chart::load(std::string(SAVORYDOCK_SOURCE_DIR) +
                                    "/charts/order_life.json")) {
         nodes.resize(count);
@@ -60,9 +62,9 @@
         }
     }
 
-    /// A new process in place of the old one.
+    /// Replaces the process of a node by a new one.
     void restart(std::size_t index) {
-        nodes[index].holder = std::make_unique<order_holder>(
+        nodes[index].server = std::make_unique<order_server>(
             instance_id("i" + std::to_string(index)), availability_zone("a"),
             chart, *this, options);
         nodes[index].outbox.clear();
@@ -70,8 +72,9 @@
     }
 
     std::uint32_t rank(const std::string&, std::uint32_t) const override {
-        // Asked while one node decides; all are equal unless a test says so.
-        return is_ranked ? deciding : holder_rank;
+        // Called while `current_node` runs. All nodes have the same rank
+        // unless `is_ranked` is set.
+        return is_ranked ? current_node : holder_rank;
     }
 
     void add_upstream(const std::string& name, bool checks_fencing) {
@@ -97,7 +100,7 @@
             revision_);
         for (node& each : nodes) {
             receive(each, [this, &each, view = view_] {
-                each.holder->on_configuration(view, now, each.outbox);
+                each.server->on_configuration(view, now, each.outbox);
             });
         }
     }
@@ -116,7 +119,7 @@
                 event();
             }
             for (std::size_t i = 0; i < nodes.size(); ++i) {
-                deciding = static_cast<std::uint32_t>(i);
+                current_node = static_cast<std::uint32_t>(i);
                 run_node(nodes[i]);
             }
         }
@@ -137,7 +140,7 @@
     [[nodiscard]] std::size_t holders() const {
         std::size_t sum = 0;
         for (const node& each : nodes) {
-            const auto rows = each.holder->status();
+            const auto rows = each.server->status();
             sum += !rows.empty() && rows[0].fencing != 0 ? 1 : 0;
         }
         return sum;
@@ -146,10 +149,11 @@
     order_options options;
     state_chart chart;
     std::uint32_t holder_rank = 0;
-    /// The first node is the first candidate, the second its standby.
+    /// If true, the rank of a node is its index: the first node is the first
+    /// candidate, the second its standby.
     bool is_ranked = false;
-    std::uint32_t deciding = 0;
-    bool is_platform_out = false;
+    std::uint32_t current_node = 0;
+    bool is_platform_unreachable = false;
     std::function<call_fault(const platform_request&)> next_call_fault =
         [](const auto&) { return call_fault::none; };
     std::function<order_fault(const upstream_order&)> next_order_fault =
@@ -157,7 +161,7 @@
     std::chrono::milliseconds late_delivery{25'000};
     steady_time now{std::chrono::hours(1)};
     fake_platform_store store;
-    std::map<upstream_id, world_upstream> upstreams;
+    std::map<upstream_id, simulated_upstream> upstreams;
     std::vector<node> nodes;
     std::uint64_t platform_calls = 0;
     std::uint64_t orders = 0;
@@ -166,7 +170,8 @@
     void receive(node& target, std::function<void()> event) {
         target.inbox.push_back(std::move(event));
     }
-    void later(std::chrono::milliseconds delay, std::function<void()> event) {
+    void schedule(std::chrono::milliseconds delay,
+                  std::function<void()> event) {
         events_.emplace(now + delay, std::move(event));
     }
 
@@ -174,26 +179,26 @@
         if (each.is_stopped || now < each.paused_until) {
             return;
         }
-        // What was decided before a pause is handed over after it.
+        // Commands from before a pause are carried out after it.
         command_list commands = std::exchange(each.outbox, {});
         for (control_command& command : commands) {
             if (auto* const call = std::get_if<platform_call>(&command)) {
                 call_platform(each, *call);
             } else if (auto* const order =
                            std::get_if<upstream_order>(&command)) {
-                hand_over(each, *order);
+                send_to_upstream(each, *order);
             }
         }
         while (!each.inbox.empty()) {
             each.inbox.front()();
             each.inbox.pop_front();
         }
-        each.holder->on_tick(now, each.outbox);
+        each.server->on_tick(now, each.outbox);
     }
 
     void call_platform(node& caller, const platform_call& call) {
         ++platform_calls;
-        const call_fault fault = is_platform_out
+        const call_fault fault = is_platform_unreachable
                                      ? call_fault::lost_call
                                      : next_call_fault(call.request);
         const auto delay =
@@ -203,29 +208,29 @@
                   {ticket, failure{result_code::platform_unreachable, "out"}});
         };
         if (fault == call_fault::lost_call) {
-            later(call_deadline, fail);
+            schedule(call_deadline, fail);
             return;
         }
         const bool is_lost = fault == call_fault::lost_answer;
         if (is_lost) {
-            later(call_deadline, fail);
+            schedule(call_deadline, fail);
         }
-        later(delay, [this, &caller, call, is_lost, delay] {
-            platform_reply answer{call.ticket, answer_of(call.request)};
+        schedule(delay, [this, &caller, call, is_lost, delay] {
+            platform_reply answer{call.ticket, execute_request(call.request)};
             if (!is_lost) {
-                later(delay,
-                      [this, &caller, answer] { reply(caller, answer); });
+                schedule(delay,
+                         [this, &caller, answer] { reply(caller, answer); });
             }
         });
     }
 
     void reply(node& caller, const platform_reply& answer) {
         receive(caller, [this, &caller, answer] {
-            caller.holder->on_platform_reply(answer, now, caller.outbox);
+            caller.server->on_platform_reply(answer, now, caller.outbox);
         });
     }
 
-    outcome<platform_answer> answer_of(const platform_request& request) {
+    outcome<platform_answer> execute_request(const platform_request& request) {
         platform_answer answer;
         if (const auto* const read = std::get_if<read_range>(&request)) {
             answer.values = store.read({read->key, read->key + '\x7f'}, 0);
@@ -244,7 +249,8 @@
                        std::get_if<grant_lease>(&request)) {
             answer.lease = store.grant(grant->time_to_live, now);
             answer.time_to_live = grant->time_to_live;
-        } else if (const auto* const keep = std::get_if<keep_lease>(&request)) {
+        } else if (const auto* const keep =
+                       std::get_if<renew_lease>(&request)) {
             answer.lease = keep->lease;
             answer.time_to_live =
                 store.keep(keep->lease, now).value_or(std::chrono::seconds(0));
@@ -256,22 +262,23 @@
         return answer;
     }
 
-    /// Does what the runtime does right before the socket write.
-    void hand_over(node& sender, const upstream_order& order) {
+    /// Does the check that the runtime does right before the socket write, and
+    /// delivers the call.
+    void send_to_upstream(node& sender, const upstream_order& order) {
         const auto answer = [this, &sender,
                              ticket = order.ticket](outcome<std::string> text) {
             receive(sender, [this, &sender,
                              reply = order_reply{ticket, std::move(text)}] {
-                sender.holder->on_order_reply(reply, now, sender.outbox);
+                sender.server->on_order_reply(reply, now, sender.outbox);
             });
         };
         if (now >= order.not_after) {
             answer(failure{result_code::lease_not_held, "too late"});
             return;
         }
-        world_upstream& target = upstreams.at(order.upstream);
+        simulated_upstream& target = upstreams.at(order.upstream);
         if (order.method == order_method::read_state) {
-            later(step, [&target, answer] { answer(state_of(target)); });
+            schedule(step, [&target, answer] { answer(state_json(target)); });
             return;
         }
         ++orders;
@@ -281,26 +288,26 @@
         const bool is_lost =
             fault == order_fault::lost_answer || fault == order_fault::late;
         if (is_lost) {
-            later(step * 2, [answer] {
+            schedule(step * 2, [answer] {
                 answer(failure{result_code::order_unknown, "lost"});
             });
         }
         const auto delay = fault == order_fault::late
                                ? late_delivery
                                : std::chrono::milliseconds(step);
-        later(delay, [this, &target, order, answer, is_lost, fault] {
+        schedule(delay, [this, &target, order, answer, is_lost, fault] {
             deliver(target, order, [answer, is_lost, fault](auto text) {
                 if (!is_lost) {
                     answer(text);
                 }
-                if (fault == order_fault::doubled) {
+                if (fault == order_fault::duplicated) {
                     answer(text);
                 }
             });
         });
     }
 
-    void deliver(world_upstream& target, const upstream_order& order,
+    void deliver(simulated_upstream& target, const upstream_order& order,
                  std::function<void(outcome<std::string>)> answer) {
         if (target.rule.checks_fencing && order.fencing < target.fencing) {
             answer(failure{result_code::fencing_refused, "{}"});
@@ -313,7 +320,7 @@
         target.loading = wanted;
         const bool is_failing = target.swaps_to_fail > 0;
         target.swaps_to_fail -= is_failing ? 1 : 0;
-        later(swap_time, [&target, order, answer, wanted, is_failing] {
+        schedule(swap_time, [&target, order, answer, wanted, is_failing] {
             target.loading = 0;
             if (is_failing) {
                 answer(failure{result_code::failed_by_upstream, "{}"});
@@ -323,11 +330,11 @@
             target.overtaken += age < target.newest ? 1 : 0;
             target.newest = std::max(target.newest, age);
             target.version = wanted;
-            answer(state_of(target));
+            answer(state_json(target));
         });
     }
 
-    static std::string state_of(const world_upstream& upstream) {
+    static std::string state_json(const simulated_upstream& upstream) {
         return boost::json::serialize(boost::json::object{
             {"version", upstream.version},
             {"loading", upstream.loading},
--- a/tests/servers/membership/membership_benchmark.cpp
+++ b/tests/servers/membership/membership_benchmark.cpp
@@ -123,8 +123,8 @@
     };
     for (auto _ : state) {
         steady_time start = fleet.now;
-        fleet.observe(
-            0, {key.service, key.upstream, upstream_evidence::said_leaving});
+        fleet.observe(0, {key.service, key.upstream,
+                          upstream_evidence::reported_leaving});
         fleet.run(60s, [&] { return all_know(true); });
         const std::chrono::duration<double> home = fleet.now - start;
         fleet.run(60s, [&] { return all_know(false); });
--- a/tests/servers/membership/membership_server_test.cpp
+++ b/tests/servers/membership/membership_server_test.cpp
@@ -84,7 +84,7 @@
 }
 
 TEST_P(membership_fault_test, leaving_upstream_is_known_in_time) {
-    fleet_.observe(5, saw(2, upstream_evidence::said_leaving));
+    fleet_.observe(5, saw(2, upstream_evidence::reported_leaving));
     const auto knows = [&](std::size_t node) {
         return condition_at(fleet_, node, 2) == upstream_condition::leaving;
     };
@@ -221,7 +221,8 @@
          .body = wire::encode(membership_message{.upstreams = {record}})},
         now_, out_);
     EXPECT_EQ(condition(0), upstream_condition::serving);
-    server_.on_observation(saw(0, upstream_evidence::said_leaving), now_, out_);
+    server_.on_observation(saw(0, upstream_evidence::reported_leaving), now_,
+                           out_);
     EXPECT_EQ(condition(0), upstream_condition::leaving);
 }
 
--- a/tests/servers/routing/snapshot_router_test.cpp
+++ b/tests/servers/routing/snapshot_router_test.cpp
@@ -73,7 +73,7 @@
     const std::array excluded{routing_fixture::name(4)};
     query.excluded = excluded;
     router_.finish(service_, routing_fixture::name(5),
-                   upstream_evidence::said_leaving, {});
+                   upstream_evidence::reported_leaving, {});
     const auto counts = pick_counts(400, query, true);
     EXPECT_EQ(std::vector<std::uint32_t>(counts.begin(), counts.begin() + 6),
               std::vector<std::uint32_t>(6, 0));
--- a/tests/servers/weights/rollout_benchmark.cpp
+++ b/tests/servers/weights/rollout_benchmark.cpp
@@ -19,13 +19,13 @@
         upstreams[i].name = upstream_id("upstream-" + std::to_string(i));
         upstreams[i].version = 1;
         upstreams[i].is_ready = true;
-        // Loads that differ, the same in every run.
+        // Different loads that are the same in every run.
         upstreams[i].load = static_cast<double>(i % 7) / 10;
     }
     return upstreams;
 }
 
-/// One decision over all upstreams in the middle of a roll-out.
+/// One call of `plan` in the middle of a roll-out.
 void BM_plan(benchmark::State& state) {
     auto upstreams = make_upstreams(static_cast<std::size_t>(state.range(0)));
     rollout_planner planner;
@@ -42,7 +42,7 @@
 }
 BENCHMARK(BM_plan)->Arg(9)->Arg(700)->Arg(10'000);
 
-/// A decision when there is nothing left to do.
+/// One call of `plan` after the roll-out has finished.
 void BM_plan_finished(benchmark::State& state) {
     auto upstreams = make_upstreams(static_cast<std::size_t>(state.range(0)));
     rollout_planner planner;
@@ -55,7 +55,8 @@
 }
 BENCHMARK(BM_plan_finished)->Arg(700)->Arg(10'000);
 
-/// The work that trainers keep running spreads over those in service.
+/// Distributes the constant load from the trainers over the upstreams in
+/// service.
 void spread_load(std::vector<rollout_upstream>& upstreams, double load) {
     const auto serving =
         std::count_if(upstreams.begin(), upstreams.end(),
@@ -68,9 +69,9 @@
     }
 }
 
-/// A whole roll-out in virtual time. Arguments: upstreams, floor and idle
-/// weight in percent, fetches at once (0: no limit), load in percent. A swap
-/// takes 6 s, of which it holds the store for all.
+/// A complete roll-out in virtual time. Arguments: number of upstreams,
+/// capacity floor and idle weight in percent, concurrent fetches (0: no limit),
+/// load in percent. A swap takes 6 s and uses the weight store all that time.
 void BM_rollout(benchmark::State& state) {
     constexpr milliseconds swap_time{6'000};
     constexpr milliseconds tick{250};
@@ -107,7 +108,7 @@
                 upstreams[i].is_ordered = true;
                 done[i] = now + swap_time;
             }
-            // Work that would run and finds no free upstream.
+            // The load for which no upstream has capacity.
             const auto out_now = static_cast<double>(std::count_if(
                 upstreams.begin(), upstreams.end(),
                 [](const auto& each) { return each.is_ordered; }));
--- a/tests/servers/weights/rollout_planner_test.cpp
+++ b/tests/servers/weights/rollout_planner_test.cpp
@@ -43,7 +43,8 @@
     std::vector<std::size_t> plan() {
         return planner_.plan(upstreams_, now_, out_);
     }
-    /// Orders what the plan says and lets it all succeed at once.
+    /// Swaps the upstreams that the plan returns, all successfully. Returns how
+    /// many.
     std::size_t swap_wave() {
         const auto chosen = plan();
         for (const std::size_t i : chosen) {
@@ -59,7 +60,7 @@
     command_list out_;
 };
 
-struct wave_row {
+struct wave_case {
     const char* name;
     std::size_t upstreams;
     rollout_goal goal;
@@ -68,23 +69,23 @@
 };
 
 TEST_F(rollout_planner_test, wave_follows_floor_idle_weight_and_store) {
-    const wave_row rows[] = {
-        {"staleness first goes to the floor",
+    const wave_case test_cases[] = {
+        {"staleness only swaps down to the floor",
          8,
          {.target = 2, .capacity_floor = 0.5, .idle_weight = 0},
          0.9,
          4},
-        {"idle first leaves what the load needs",
+        {"idle time only keeps what the load needs",
          8,
          {.target = 2, .capacity_floor = 0.5, .idle_weight = 1},
          0.7,
          2},
-        {"idle first takes one at full load",
+        {"idle time only swaps one at full load",
          8,
          {.target = 2, .capacity_floor = 0.5, .idle_weight = 1},
          1.0,
          1},
-        {"idle first goes to the floor at no load",
+        {"idle time only swaps down to the floor without load",
          8,
          {.target = 2, .capacity_floor = 0.5, .idle_weight = 1},
          0,
@@ -99,26 +100,26 @@
          {.target = 2, .capacity_floor = 0, .fetches_at_once = 3},
          0,
          3},
-        {"a lone upstream is swapped all the same",
+        {"a single upstream is swapped despite the floor",
          1,
          {.target = 2, .capacity_floor = 0.5},
          0,
          1},
-        {"a floor of all forbids any swap",
+        {"a floor of 1 forbids any swap",
          8,
          {.target = 2, .capacity_floor = 1},
          0,
          0},
     };
-    for (const wave_row& row : rows) {
+    for (const wave_case& test_case : test_cases) {
         rollout_planner planner;
-        auto upstreams = make_upstreams(row.upstreams);
+        auto upstreams = make_upstreams(test_case.upstreams);
         for (auto& upstream : upstreams) {
-            upstream.load = row.load;
+            upstream.load = test_case.load;
         }
-        planner.set_goal(row.goal, out_);
-        EXPECT_EQ(planner.plan(upstreams, now_, out_).size(), row.wave)
-            << row.name;
+        planner.set_goal(test_case.goal, out_);
+        EXPECT_EQ(planner.plan(upstreams, now_, out_).size(), test_case.wave)
+            << test_case.name;
     }
 }
 
@@ -132,7 +133,7 @@
     EXPECT_EQ(plan().size(), 4U);
 }
 
-TEST_F(rollout_planner_test, overtaken_version_is_skipped_and_said) {
+TEST_F(rollout_planner_test, overtaken_version_is_skipped_and_logged) {
     planner_.set_goal({.target = 2, .idle_weight = 0}, out_);
     EXPECT_EQ(swap_wave(), 4U);
     planner_.set_goal({.target = 3, .idle_weight = 0.9}, out_);
@@ -153,11 +154,11 @@
 
 TEST_F(rollout_planner_test, failing_upstream_is_retried_then_left_out) {
     planner_.set_goal({.target = 2, .idle_weight = 0}, out_);
-    std::vector<steady_time> tries;
+    std::vector<steady_time> attempt_times;
     for (int step = 0; step < 1'000; ++step, now_ += milliseconds(100)) {
         for (const std::size_t i : plan()) {
             if (i == 0) {
-                tries.push_back(now_);
+                attempt_times.push_back(now_);
                 planner_.swap_failed(upstreams_[i].name,
                                      swap_failure::upstream_failed, now_, out_);
             } else {
@@ -166,15 +167,17 @@
             }
         }
     }
-    ASSERT_EQ(tries.size(), 3U);
-    EXPECT_LT(tries[1] - tries[0], tries[2] - tries[1]);
+    ASSERT_EQ(attempt_times.size(), 3U);
+    EXPECT_LT(attempt_times[1] - attempt_times[0],
+              attempt_times[2] - attempt_times[1]);
     EXPECT_EQ(count_events(out_, log_event::rollout_upstream_left_out), 1U);
     EXPECT_EQ(count_events(out_, log_event::rollout_finished), 1U);
     planner_.set_goal({.target = 3}, out_);
     EXPECT_FALSE(planner_.is_left_out(upstreams_[0].name));
 }
 
-TEST_F(rollout_planner_test, busy_store_narrows_the_wave_and_blames_nobody) {
+TEST_F(rollout_planner_test,
+       busy_store_shrinks_the_wave_and_counts_no_failure) {
     planner_.set_goal({.target = 2, .capacity_floor = 0, .idle_weight = 0},
                       out_);
     const auto first = plan();
@@ -195,7 +198,7 @@
     EXPECT_FALSE(planner_.is_stopped());
 }
 
-struct stop_row {
+struct stop_case {
     const char* name;
     upstream_evidence swapped;
     upstream_evidence others;
@@ -205,15 +208,16 @@
 
 TEST_F(rollout_planner_test, rollout_that_makes_upstreams_fail_is_stopped) {
     using enum upstream_evidence;
-    const stop_row rows[] = {
-        {"swapped ones crash", connection_lost, answered, 1, true},
-        {"swapped ones time out", timed_out, answered, 10, true},
-        {"too few answers to tell", timed_out, answered, 1, false},
-        {"all crash alike", connection_lost, connection_lost, 10, false},
-        {"all is well", answered, answered, 10, false},
-        {"busy is no fault", said_overloaded, answered, 10, false},
+    const stop_case test_cases[] = {
+        {"swapped upstreams crash", connection_lost, answered, 1, true},
+        {"swapped upstreams time out", timed_out, answered, 10, true},
+        {"too few answers to decide", timed_out, answered, 1, false},
+        {"all upstreams crash", connection_lost, connection_lost, 10, false},
+        {"all upstreams answer", answered, answered, 10, false},
+        {"an overload report is no failure", reported_overloaded, answered, 10,
+         false},
     };
-    for (const stop_row& row : rows) {
+    for (const stop_case& test_case : test_cases) {
         planner_ = rollout_planner();
         upstreams_ = make_upstreams(8);
         out_.clear();
@@ -221,18 +225,19 @@
         ASSERT_EQ(swap_wave(), 4U);
         now_ += seconds(11);
         for (const auto& upstream : upstreams_) {
-            for (std::uint32_t i = 0; i < row.answers; ++i) {
-                planner_.observe(
-                    upstream.name,
-                    upstream.version == 2 ? row.swapped : row.others, now_);
+            for (std::uint32_t i = 0; i < test_case.answers; ++i) {
+                planner_.observe(upstream.name,
+                                 upstream.version == 2 ? test_case.swapped
+                                                       : test_case.others,
+                                 now_);
             }
         }
-        EXPECT_EQ(plan().empty(), row.is_stopped) << row.name;
+        EXPECT_EQ(plan().empty(), test_case.is_stopped) << test_case.name;
         EXPECT_EQ(count_events(out_, log_event::rollout_stopped),
-                  row.is_stopped ? 1U : 0U)
-            << row.name;
+                  test_case.is_stopped ? 1U : 0U)
+            << test_case.name;
         planner_.set_goal({.target = 3, .idle_weight = 0}, out_);
-        EXPECT_FALSE(plan().empty()) << row.name;
+        EXPECT_FALSE(plan().empty()) << test_case.name;
     }
 }
 
@@ -255,7 +260,8 @@
     }
 }
 
-TEST_F(rollout_planner_test, upstreams_that_restart_at_old_weights_stop_it) {
+TEST_F(rollout_planner_test,
+       upstreams_that_restart_at_old_weights_stop_the_rollout) {
     for (auto& upstream : upstreams_) {
         upstream.load = 1;
     }
@@ -263,7 +269,8 @@
     std::set<std::size_t> crashed;
     for (int round = 0; round < 40; ++round, now_ += seconds(1)) {
         for (const std::size_t i : plan()) {
-            // It loads, crashes at once and comes back as it was.
+            // The upstream loads the version, crashes immediately and
+            // restarts with its old version.
             planner_.swap_done(upstreams_[i].name, 2, now_);
             crashed.insert(i);
         }
@@ -272,7 +279,7 @@
     EXPECT_EQ(crashed.size(), 2U);
 }
 
-TEST_F(rollout_planner_test, late_word_about_the_swap_is_no_crash) {
+TEST_F(rollout_planner_test, late_report_of_the_swap_is_no_crash) {
     planner_.set_goal({.target = 2, .idle_weight = 0}, out_);
     ASSERT_EQ(swap_wave(), 4U);
     for (auto& upstream : upstreams_) {
@@ -289,8 +296,9 @@
     EXPECT_FALSE(planner_.is_stopped());
 }
 
-/// Whatever the loads, conditions and outcomes: the floor holds, the store's
-/// limit holds, nobody is ordered twice at once and versions only grow.
+/// For any loads, conditions and results, the capacity floor and the store's
+/// limit are kept, no upstream gets a second order while one is pending, and
+/// versions only increase.
 RC_GTEST_FIXTURE_PROP(rollout_planner_test, any_run_keeps_floor_and_limit, ()) {
     const auto count = *rc::gen::inRange<std::size_t>(2, 40);
     const double floor = *rc::gen::inRange(0, 101) / 100.0;
