--- a/servers/configuration/cold_start.cpp
+++ b/servers/configuration/cold_start.cpp
@@ -4,23 +4,24 @@
 
 namespace savorydock {
 
-void cold_start::note_asked(const instance_id& peer, steady_time now) {
-    asked_.insert(peer);
-    if (!first_asked_) {
-        first_asked_ = now;
+void cold_start::record_hello_sent(const instance_id& peer, steady_time now) {
+    asked_peers_.insert(peer);
+    if (!first_hello_at_) {
+        first_hello_at_ = now;
     }
 }
 
-void cold_start::note_answer(const instance_id& peer, bool is_starting,
-                             store_revision complete_through,
-                             store_revision claimed) {
-    answered_.insert(peer);
-    // A starting peer serves nothing yet, but what it remembers of others'
-    // claims is true all the same.
+void cold_start::record_digest(const instance_id& peer, bool is_starting,
+                               store_revision complete_through,
+                               store_revision claimed) {
+    answered_peers_.insert(peer);
+    // The claims that a peer has recorded are valid even while the peer itself
+    // is starting.
     floor_ = std::max(floor_, claimed);
     if (!is_starting) {
-        has_authority_ = true;
-        best_ = std::max(best_, complete_through);
+        has_serving_peer_ = true;
+        highest_complete_through_ =
+            std::max(highest_complete_through_, complete_through);
     }
 }
 
@@ -29,16 +30,18 @@
     if (has_store_read_) {
         return true;
     }
-    if (!has_authority_ || complete_through < floor_) {
+    if (!has_serving_peer_ || complete_through < floor_) {
         return false;
     }
-    const auto waited = now - *first_asked_;
-    const bool has_all_answers = std::includes(
-        answered_.begin(), answered_.end(), asked_.begin(), asked_.end());
-    if (!has_all_answers && waited < patience) {
+    const auto waited = now - *first_hello_at_;
+    const bool has_all_answers =
+        std::includes(answered_peers_.begin(), answered_peers_.end(),
+                      asked_peers_.begin(), asked_peers_.end());
+    if (!has_all_answers && waited < answer_timeout) {
         return false;
     }
-    return complete_through >= best_ || waited >= pull_patience;
+    return complete_through >= highest_complete_through_ ||
+           waited >= catch_up_timeout;
 }
 
 bool cold_start::try_end(store_revision complete_through, steady_time now) {
@@ -51,8 +54,8 @@
 
 bool cold_start::is_held_back(store_revision complete_through,
                               steady_time now) const {
-    return !is_over_ && has_authority_ && complete_through < floor_ &&
-           now - *first_asked_ >= patience;
+    return !is_over_ && has_serving_peer_ && complete_through < floor_ &&
+           now - *first_hello_at_ >= answer_timeout;
 }
 
 } // namespace savorydock
--- a/servers/configuration/cold_start.hpp
+++ b/servers/configuration/cold_start.hpp
@@ -11,38 +11,45 @@
 
 namespace savorydock {
 
-/// Decides when an instance that has just started may serve what it has
-/// gathered: after a whole read of the platform's store; or, while that is
-/// out, once it has what the best of the answering peers has and is not below
-/// anything that those peers know this instance to have served before.
+/// Decides when an instance that has just started may serve the configuration
+/// that it has collected. It may after one complete read of the platform's
+/// store. While the store is unreachable it may once it has caught up with the
+/// most advanced peer that answered, and has reached every revision that those
+/// peers recorded for it before the restart (its claims).
 ///
-/// What stays open: an instance whose last claim reached none of the peers
-/// that answer may serve an older revision than it did before it restarted.
+/// Limitation: if none of the peers that answer recorded the last claim of the
+/// instance, it may serve an older revision than before its restart.
 /// Not thread safe.
 class cold_start {
 public:
-    /// How long to wait for peers that don't answer.
-    static constexpr std::chrono::milliseconds patience{2'000};
-    /// How long to wait for the best peer's documents once it answered.
-    static constexpr std::chrono::milliseconds pull_patience{4'000};
+    /// How long to wait for peers that have not answered yet.
+    static constexpr std::chrono::milliseconds answer_timeout{2'000};
+    /// How long to wait, from the first hello, until the instance has caught up
+    /// with the most advanced peer.
+    static constexpr std::chrono::milliseconds catch_up_timeout{4'000};
 
     [[nodiscard]] bool is_over() const { return is_over_; }
 
-    void note_asked(const instance_id& peer, steady_time now);
-    /// A peer's answer: what it is complete through, and the highest revision
-    /// that it knows this instance to have claimed.
-    void note_answer(const instance_id& peer, bool is_starting,
-                     store_revision complete_through, store_revision claimed);
+    void record_hello_sent(const instance_id& peer, steady_time now);
+    /// Records a peer's answer to a hello: the revision that the peer is
+    /// complete through, and the highest claim of this instance that the peer
+    /// has recorded.
+    void record_digest(const instance_id& peer, bool is_starting,
+                       store_revision complete_through, store_revision claimed);
 
-    /// The store was read whole; nothing newer can be in force anywhere.
-    void note_store_read() { has_store_read_ = true; }
+    /// Records a complete read of the store; no instance can have had a newer
+    /// revision in force at that time.
+    void record_store_read() { has_store_read_ = true; }
 
-    /// Ends the start if the instance may serve; returns whether it did.
+    /// Ends the cold start if the instance may serve now; returns whether this
+    /// call ended it.
     bool try_end(store_revision complete_through, steady_time now);
 
-    /// The lowest revision that the instance may serve, as far as known.
+    /// The highest claim of this instance that a peer has reported: it must not
+    /// serve an older revision.
     [[nodiscard]] store_revision floor() const { return floor_; }
-    /// Peers answered but the floor is not reached.
+    /// Whether serving peers answered but the instance is still below `floor`
+    /// after `answer_timeout`.
     [[nodiscard]] bool is_held_back(store_revision complete_through,
                                     steady_time now) const;
 
@@ -52,11 +59,11 @@
 
     bool is_over_ = false;
     bool has_store_read_ = false;
-    std::optional<steady_time> first_asked_;
-    std::set<instance_id> asked_;
-    std::set<instance_id> answered_;
-    bool has_authority_ = false;
-    store_revision best_ = 0;
+    std::optional<steady_time> first_hello_at_;
+    std::set<instance_id> asked_peers_;
+    std::set<instance_id> answered_peers_;
+    bool has_serving_peer_ = false;
+    store_revision highest_complete_through_ = 0;
     store_revision floor_ = 0;
 };
 
--- a/servers/configuration/configuration_message.hpp
+++ b/servers/configuration/configuration_message.hpp
@@ -12,17 +12,18 @@
 
 namespace savorydock {
 
-/// One revision of a service as instances pass it on. The receiver checks the
-/// document itself: an instance of another version may judge differently.
+/// One revision of a service as instances send it to each other. The receiver
+/// validates the document itself, because instances of different program
+/// versions may accept different documents.
 struct configuration_entry {
     service_name service;
     store_revision revision = 0;
     bool is_deleted = false;
     std::string publish_id;
     std::string operator_name;
-    /// The document, unless there is a patch.
+    /// The full document; empty if `patch` is set.
     std::string text;
-    /// The change from the revision `patch_base` of the same service.
+    /// The revision of the same service that `patch` applies to.
     store_revision patch_base = 0;
     std::optional<text_patch> patch;
 };
@@ -31,33 +32,35 @@
                        text, patch_base, patch))
 
 enum class configuration_message_kind : std::uint8_t {
-    /// Tells the revision that the sender is complete through.
+    /// Reports the revision that the sender is complete through.
     digest = 1,
-    /// Asks for the entries after that revision.
+    /// Requests the entries after revision `from`.
     pull = 2,
-    /// Entries: all with a revision in (from, to].
+    /// Carries all entries with a revision in (from, to].
     delta = 3,
-    /// Asks for a digest; sent by an instance that starts.
+    /// Requests a digest; sent by an instance that is starting.
     hello = 4,
 };
 
-/// The body of a message of topic configuration.
+/// The body of a peer message with the topic `configuration`.
 struct configuration_message {
     configuration_message_kind kind = configuration_message_kind::digest;
-    /// The sender holds every revision up to this one.
+    /// The sender has applied every revision up to this one.
     store_revision complete_through = 0;
-    /// The sender has just started and serves nothing yet.
+    /// The sender is starting and does not serve yet.
     bool is_starting = false;
-    /// Of a digest: the highest revision that the receiver is on record with.
+    /// In a digest: the receiver's claim, which is the highest revision that
+    /// the receiver has reported to the sender.
     store_revision claimed_by_receiver = 0;
-    /// Of a pull: send texts, the sender lacks what a patch would build on.
-    bool wants_whole_texts = false;
+    /// In a pull: the answer must hold full texts, because the sender lacks the
+    /// revision that a patch would apply to.
+    bool wants_full_texts = false;
     store_revision from = 0;
     store_revision to = 0;
     std::vector<configuration_entry> entries;
 };
 BOOST_DESCRIBE_STRUCT(configuration_message, (),
                       (kind, complete_through, is_starting, claimed_by_receiver,
-                       wants_whole_texts, from, to, entries))
+                       wants_full_texts, from, to, entries))
 
 } // namespace savorydock
--- a/servers/configuration/configuration_server.hpp
+++ b/servers/configuration/configuration_server.hpp
@@ -2,7 +2,7 @@
 
 #include "core/random_source.hpp"
 #include "servers/configuration/cold_start.hpp"
-#include "servers/configuration/configuration_spread.hpp"
+#include "servers/configuration/configuration_gossip.hpp"
 #include "servers/configuration/configuration_table.hpp"
 #include "servers/configuration/instance_directory.hpp"
 #include "servers/configuration/store_watcher.hpp"
@@ -16,7 +16,7 @@
 
 namespace savorydock {
 
-/// What the spread of configuration has cost this instance since its start.
+/// Traffic and results of configuration updates since the instance started.
 struct configuration_counters {
     std::uint64_t platform_calls = 0;
     std::uint64_t platform_bytes_received = 0;
@@ -29,23 +29,24 @@
     std::uint64_t revisions_stale = 0;
 };
 
-/// One service as `status` tells it.
+/// One service in the result of `status`.
 struct service_status {
     service_name service;
-    /// The revision in force; 0 if none ever was.
+    /// The revision in force; 0 if there has been none.
     store_revision revision = 0;
     bool is_deleted = false;
     std::string publish_id;
     std::string operator_name;
-    /// For how long the revision has been in force on this instance.
+    /// Time since the revision came into force on this instance.
     std::chrono::milliseconds age{0};
-    /// A later revision that was refused, 0 if there is none, and its faults.
+    /// A later revision that failed validation (0 if there is none), and its
+    /// faults.
     store_revision refused_revision = 0;
     std::string faults;
 };
 
 struct configuration_status {
-    /// The instance serves its configuration (it is not starting).
+    /// The instance has finished its cold start and serves its configuration.
     bool is_ready = false;
     store_revision complete_through = 0;
     bool is_watcher = false;
@@ -53,20 +54,20 @@
     std::vector<service_status> services;
 };
 
-/// What a configuration server needs to know of its instance.
 struct configuration_server_options {
     instance_id instance;
     availability_zone zone;
-    /// Called on the control thread when other services are in force.
+    /// Called on the control thread when the services in force have changed.
     std::function<void(std::shared_ptr<const configuration_view>)> on_view;
 };
 
-/// Brings the services that operators publish to this instance and passes
-/// them on to its peers; see docs/design/configuration.md.
+/// Receives the services that operators publish, from the platform's store or
+/// from peers, and forwards them to other peers; see
+/// docs/design/configuration.md.
 ///
-/// A revision is put in force only if it is newer than the one held, wherever
-/// it comes from, and nothing is in force until `cold_start` allows it. The
-/// random source must outlive the server.
+/// A revision comes into force only if it is newer than the one held, whatever
+/// its source, and none does before `cold_start` allows it. The random source
+/// must outlive the server.
 class configuration_server final : public control_server {
 public:
     configuration_server(configuration_server_options options,
@@ -76,8 +77,8 @@
         return peer_topic::configuration;
     }
 
-    /// Takes the instances that membership knows. Until the first call the
-    /// instance takes itself to be alone in its zone.
+    /// Sets the instances that membership knows. Until the first call the
+    /// instance acts as the only one in its zone.
     void on_instances(const std::vector<known_instance>& instances,
                       steady_time now);
 
@@ -97,11 +98,11 @@
 private:
     void on_delta(const instance_id& peer, const configuration_message& message,
                   steady_time now, command_list& out);
-    void on_store_news(const store_news& news, steady_time now,
+    void on_store_read(const store_read_result& news, steady_time now,
                        command_list& out);
     void apply(const configuration_entry& entry, steady_time now,
                command_list& out);
-    void greet_peers(steady_time now, command_list& out);
+    void send_hellos(steady_time now, command_list& out);
     void publish_view(store_revision complete_before, steady_time now,
                       command_list& out);
 
@@ -109,13 +110,13 @@
     random_source& random_;
     instance_directory directory_;
     configuration_table table_;
-    configuration_spread spread_;
+    configuration_gossip gossip_;
     store_watcher watcher_;
     cold_start start_;
-    steady_time next_greeting_{};
-    bool is_held_back_told_ = false;
+    steady_time next_hello_{};
+    bool is_held_back_logged_ = false;
     bool is_store_behind_ = false;
-    bool has_change_ = false;
+    bool has_unpublished_change_ = false;
     std::shared_ptr<const configuration_view> published_;
     configuration_counters counters_;
 };
--- a/servers/configuration/configuration_table.cpp
+++ b/servers/configuration/configuration_table.cpp
@@ -34,26 +34,29 @@
     auto document = parse_service_document(entry.text);
     if (document && document->service != entry.service) {
         return failure{result_code::invalid_document,
-                       "service: " + entry.service.text() + ", as the key"};
+                       "service: " + entry.service.text() +
+                           " expected, as in its key"};
     }
     return document;
 }
 
-// What a peer at `from` holds, if the table still knows it.
-const held_revision* base_of(const held_service& held, store_revision from) {
-    if (!held.previous || held.previous->revision > from ||
-        held.previous->is_deleted) {
+// The valid revision that a peer complete through `from` holds, if the table
+// still has it.
+const held_revision* patch_base_for(const held_service& held,
+                                    store_revision from) {
+    if (!held.previous_valid || held.previous_valid->revision > from ||
+        held.previous_valid->is_deleted) {
         return nullptr;
     }
-    return &*held.previous;
+    return &*held.previous_valid;
 }
 
-configuration_entry good_entry(const service_name& service,
-                               const held_service& held, store_revision from,
-                               bool whole_texts) {
-    configuration_entry entry = to_entry(service, held.good);
-    const held_revision* const base = base_of(held, from);
-    if (whole_texts || base == nullptr || entry.is_deleted) {
+configuration_entry valid_entry(const service_name& service,
+                                const held_service& held, store_revision from,
+                                bool full_texts) {
+    configuration_entry entry = to_entry(service, held.valid);
+    const held_revision* const base = patch_base_for(held, from);
+    if (full_texts || base == nullptr || entry.is_deleted) {
         return entry;
     }
     entry.patch = make_patch(base->text, entry.text);
@@ -75,18 +78,20 @@
                                         steady_time now) {
     const auto found = services_.find(entry.service);
     const bool is_known = found != services_.end();
-    const store_revision good = is_known ? found->second.good.revision : 0;
+    const store_revision valid_revision =
+        is_known ? found->second.valid.revision : 0;
     const store_revision newest = is_known ? found->second.newest() : 0;
-    // A good revision is still wanted below one that was refused.
-    const bool is_good_wanted =
-        entry.revision > good && entry.revision < newest;
-    if (entry.revision == 0 || (entry.revision <= newest && !is_good_wanted)) {
+    // A revision below the refused one can still be the last valid one.
+    const bool is_below_refused =
+        entry.revision > valid_revision && entry.revision < newest;
+    if (entry.revision == 0 ||
+        (entry.revision <= newest && !is_below_refused)) {
         return apply_result::stale;
     }
     std::shared_ptr<const service_document> document;
     if (!entry.is_deleted) {
         auto parsed = read_document(entry);
-        if (!parsed && is_good_wanted) {
+        if (!parsed && is_below_refused) {
             return apply_result::stale;
         }
         held_service& held = services_[entry.service];
@@ -104,10 +109,10 @@
 void configuration_table::put_in_force(
     held_service& held, const configuration_entry& entry,
     std::shared_ptr<const service_document> document, steady_time now) {
-    if (held.good.revision != 0) {
-        held.previous = std::move(held.good);
+    if (held.valid.revision != 0) {
+        held.previous_valid = std::move(held.valid);
     }
-    held.good = to_held(entry);
+    held.valid = to_held(entry);
     held.document = std::move(document);
     held.in_force_since = now;
     if (held.refused && held.refused->revision < entry.revision) {
@@ -117,7 +122,7 @@
     view_.reset();
 }
 
-void configuration_table::complete_through(store_revision revision) {
+void configuration_table::mark_complete_through(store_revision revision) {
     if (revision > complete_through_) {
         complete_through_ = revision;
         view_.reset();
@@ -125,7 +130,7 @@
 }
 
 std::optional<configuration_entry>
-configuration_table::whole(configuration_entry entry) const {
+configuration_table::expand_patch(configuration_entry entry) const {
     if (!entry.patch) {
         return entry;
     }
@@ -134,15 +139,15 @@
         return {};
     }
     const held_service& held = found->second;
-    // What is held already needs no text to be found stale.
-    if (entry.revision <= held.good.revision) {
+    // `apply` finds such an entry stale without its text.
+    if (entry.revision <= held.valid.revision) {
         entry.patch.reset();
         return entry;
     }
-    if (held.good.revision != entry.patch_base) {
+    if (held.valid.revision != entry.patch_base) {
         return {};
     }
-    auto text = apply_patch(held.good.text, *entry.patch);
+    auto text = apply_patch(held.valid.text, *entry.patch);
     if (!text) {
         return {};
     }
@@ -152,12 +157,12 @@
 }
 
 configuration_delta configuration_table::delta(store_revision from,
-                                               bool whole_texts,
+                                               bool full_texts,
                                                std::size_t max_bytes) const {
     std::vector<configuration_entry> all;
     for (const auto& [name, held] : services_) {
-        if (held.good.revision > from) {
-            all.push_back(good_entry(name, held, from, whole_texts));
+        if (held.valid.revision > from) {
+            all.push_back(valid_entry(name, held, from, full_texts));
         }
         if (held.refused && held.refused->revision > from) {
             all.push_back(to_entry(name, *held.refused));
@@ -179,10 +184,10 @@
     return result;
 }
 
-bool configuration_table::lacks_good_revision() const {
+bool configuration_table::lacks_valid_revision() const {
     return std::any_of(
         services_.begin(), services_.end(),
-        [](const auto& service) { return service.second.good.revision == 0; });
+        [](const auto& service) { return service.second.valid.revision == 0; });
 }
 
 const std::string&
@@ -196,7 +201,7 @@
         std::map<service_name, service_in_force> in_force;
         for (const auto& [name, held] : services_) {
             if (held.document != nullptr) {
-                in_force[name] = {.revision = held.good.revision,
+                in_force[name] = {.revision = held.valid.revision,
                                   .document = held.document};
             }
         }
--- a/servers/configuration/configuration_view.hpp
+++ b/servers/configuration/configuration_view.hpp
@@ -8,14 +8,15 @@
 
 namespace savorydock {
 
-/// One service in force, with the revision that brought it.
+/// One service in force and the revision of its document.
 struct service_in_force {
     store_revision revision = 0;
     std::shared_ptr<const service_document> document;
 };
 
-/// All services in force on an instance. Immutable, hence thread safe:
-/// control publishes a new view, traffic keeps the one it began with.
+/// All services in force on an instance. Immutable, hence thread safe: the
+/// control thread publishes a new view for each change, and a request keeps
+/// the view that it started with.
 class configuration_view {
 public:
     configuration_view() = default;
@@ -24,7 +25,7 @@
         : services_(std::move(services))
         , complete_through_(complete_through) {}
 
-    /// The service of that name, or null.
+    /// Returns the service with that name, or null if it is not in force.
     [[nodiscard]] const service_in_force* find(const service_name& name) const {
         const auto found = services_.find(name);
         return found == services_.end() ? nullptr : &found->second;
@@ -35,7 +36,7 @@
         return services_;
     }
 
-    /// Every revision up to this one is in the view.
+    /// The view includes every revision up to this one.
     [[nodiscard]] store_revision complete_through() const {
         return complete_through_;
     }
--- a/servers/configuration/instance_directory.cpp
+++ b/servers/configuration/instance_directory.cpp
@@ -31,12 +31,12 @@
     for (const instance_id& peer : peers_) {
         names.push_back(peer.text());
     }
-    const std::size_t keepers =
-        names.size() <= small_fleet ? names.size() : keeper_count;
-    keepers_.clear();
-    for (std::string& name :
-         choose_by_rendezvous(self_.text(), std::move(names), keepers)) {
-        keepers_.emplace_back(std::move(name));
+    const std::size_t claim_recorders =
+        names.size() <= small_fleet_size ? names.size() : claim_recorder_count;
+    claim_recorders_.clear();
+    for (std::string& name : choose_by_rendezvous(
+             self_.text(), std::move(names), claim_recorders)) {
+        claim_recorders_.emplace_back(std::move(name));
     }
     choose_watchers(instances);
 }
@@ -55,8 +55,9 @@
         std::find(chosen.begin(), chosen.end(), self_.text()) != chosen.end();
 }
 
-std::vector<instance_id> instance_directory::pick(std::size_t count,
-                                                  random_source& random) const {
+std::vector<instance_id>
+instance_directory::pick_random(std::size_t count,
+                                random_source& random) const {
     if (count >= peers_.size()) {
         return peers_;
     }
--- a/servers/configuration/line_diff.cpp
+++ b/servers/configuration/line_diff.cpp
@@ -12,7 +12,7 @@
 using lines = std::vector<std::string_view>;
 using line_span = std::span<const std::string_view>;
 
-// Bounds the table of common lengths to 16 MB.
+// Limits the table of `common_lengths` to 16 MB.
 constexpr std::size_t max_table_cells = 4'000'000;
 
 lines split_lines(std::string_view text) {
@@ -45,7 +45,8 @@
     return count;
 }
 
-// The length of the longest common subsequence of each pair of tails.
+// The lengths of the longest common subsequences of the lines of `from` from i
+// on and the lines of `to` from j on, for all i and j.
 class common_lengths {
 public:
     common_lengths(line_span from, line_span to)
--- a/servers/configuration/line_diff.hpp
+++ b/servers/configuration/line_diff.hpp
@@ -5,12 +5,14 @@
 
 namespace savorydock {
 
-/// Returns the lines that turn one text into another: "-" before a line that
-/// goes, "+" before one that comes, "@@ N" before each group of changes at
-/// line N of the first text. Empty if the texts are equal. Thread safe.
+/// Returns the line changes that turn one text into another: "-" before a
+/// removed line, "+" before an added line, and "@@ N" before each group of
+/// changes, where N is the line in the first text. Empty if the texts are
+/// equal. Thread safe.
 ///
-/// The cost grows with the product of the lines that differ; beyond a bound
-/// the whole middle is told as replaced.
+/// Time and memory grow with the product of the numbers of lines between the
+/// first and the last difference in both texts. Above a limit that whole region
+/// is returned as replaced.
 [[nodiscard]] std::string line_diff(std::string_view from, std::string_view to);
 
 } // namespace savorydock
--- a/servers/configuration/publish_protocol.cpp
+++ b/servers/configuration/publish_protocol.cpp
@@ -12,7 +12,8 @@
 constexpr std::chrono::milliseconds max_backoff{2'000};
 constexpr const char* unreadable = "unreadable";
 
-// A value that is no envelope still has a place among the revisions.
+// A value that is not a valid envelope still has a revision that a publish can
+// replace.
 service_envelope envelope_of(const stored_value& value) {
     auto envelope = parse_service_envelope(value.value);
     if (!envelope) {
@@ -23,8 +24,9 @@
     return *envelope;
 }
 
-std::vector<publish_record> history_through(const service_envelope& envelope,
-                                            store_revision modified) {
+std::vector<publish_record>
+history_with_current(const service_envelope& envelope,
+                     store_revision modified) {
     std::vector<publish_record> history = envelope.history;
     history.push_back({.publish_id = envelope.publish_id,
                        .operator_name = envelope.operator_name,
@@ -32,7 +34,7 @@
     return history;
 }
 
-void trim(std::vector<publish_record>& history) {
+void trim_history(std::vector<publish_record>& history) {
     if (history.size() > service_envelope::max_history) {
         history.erase(history.begin(),
                       history.end() - service_envelope::max_history);
@@ -68,7 +70,7 @@
 publish_step publish_protocol::on_reply(const outcome<platform_answer>& reply,
                                         steady_time now) {
     if (!reply) {
-        return on_lost(reply.reason(), now);
+        return on_call_failed(reply.reason(), now);
     }
     backoff_ = first_backoff;
     switch (phase_) {
@@ -85,7 +87,7 @@
     if (answer.values.empty()) {
         if (plan_.is_deleted) {
             return finish({.code = result_code::not_found,
-                           .detail = "there is no such service"});
+                           .detail = "the service does not exist"});
         }
         if (plan_.base.value_or(0) != 0) {
             return finish({.code = result_code::publish_conflict,
@@ -95,108 +97,116 @@
     }
     const stored_value& current = answer.values.front();
     const service_envelope envelope = envelope_of(current);
-    expected_ = current.modified;
-    history_ = history_through(envelope, current.modified);
-    if (plan_.base && *plan_.base != expected_) {
+    expected_revision_ = current.modified;
+    history_ = history_with_current(envelope, current.modified);
+    if (plan_.base && *plan_.base != expected_revision_) {
         return finish_conflict(envelope, history_.back());
     }
     if (plan_.is_deleted && envelope.is_deleted) {
         return finish({.code = result_code::not_found,
-                       .detail = "the service is deleted already"});
+                       .detail = "the service is already deleted"});
     }
     if (!plan_.is_deleted && !envelope.is_deleted &&
         envelope.text == plan_.text && envelope.publish_id != unreadable) {
-        return finish({.revision = expected_, .is_unchanged = true});
+        return finish({.revision = expected_revision_, .is_unchanged = true});
     }
-    trim(history_);
+    trim_history(history_);
     return send(publish_phase::swapping);
 }
 
 publish_step publish_protocol::on_swap(const platform_answer& answer,
                                        steady_time now) {
     if (answer.has_swapped) {
-        return finish({.revision = answer.revision, .replaced = expected_});
+        return finish(
+            {.revision = answer.revision, .replaced = expected_revision_});
     }
     return on_check(answer, now);
 }
 
 publish_step publish_protocol::on_check(const platform_answer& answer,
                                         steady_time now) {
-    const bool is_unchanged = answer.values.empty()
-                                  ? expected_ == 0
-                                  : answer.values.front().modified == expected_;
+    const bool is_unchanged =
+        answer.values.empty()
+            ? expected_revision_ == 0
+            : answer.values.front().modified == expected_revision_;
     if (is_unchanged) {
-        // The same swap twice is safe: both expect the same revision.
-        return now < deadline_ ? send(publish_phase::swapping)
-                               : finish_unknown("the swap may still arrive");
+        // Sending the swap again is safe: both copies expect the same revision,
+        // so at most one can succeed.
+        return now < deadline_
+                   ? send(publish_phase::swapping)
+                   : finish_unknown("the swap may still take effect");
     }
     if (!answer.values.empty()) {
-        return judge(answer.values.front());
+        return resolve_from_history(answer.values.front());
     }
-    if (has_lost_swap_) {
+    if (has_unanswered_swap_) {
         return finish_unknown("the key was removed from the store");
     }
     return finish({.code = result_code::publish_conflict,
                    .detail = "the key was removed from the store"});
 }
 
-publish_step publish_protocol::judge(const stored_value& current) {
+publish_step
+publish_protocol::resolve_from_history(const stored_value& current) {
     const service_envelope envelope = envelope_of(current);
     if (envelope.publish_id == plan_.publish_id) {
-        return finish({.revision = current.modified, .replaced = expected_});
+        return finish(
+            {.revision = current.modified, .replaced = expected_revision_});
     }
     for (const publish_record& record : envelope.history) {
         if (record.publish_id == plan_.publish_id) {
             return finish({.revision = record.revision,
-                           .replaced = expected_,
+                           .replaced = expected_revision_,
                            .is_overtaken = true});
         }
     }
-    const auto winner = successor_of_expected(envelope, current.modified);
+    const auto winner =
+        successor_of_expected_revision(envelope, current.modified);
     if (winner) {
         return finish_conflict(envelope, *winner);
     }
-    if (has_lost_swap_) {
+    if (has_unanswered_swap_) {
         return finish_unknown(
-            "more publishes followed than the store remembers");
+            "the history in the store does not reach back to this publish");
     }
-    return finish_conflict(envelope,
-                           history_through(envelope, current.modified).back());
+    return finish_conflict(
+        envelope, history_with_current(envelope, current.modified).back());
 }
 
-// The publish that took the place which this one asked for, if the history
-// reaches back to it. That it is another one proves that ours never took
-// effect and never will.
-std::optional<publish_record>
-publish_protocol::successor_of_expected(const service_envelope& current,
-                                        store_revision modified) const {
+// The publish that replaced the revision which this publish expected, if the
+// history reaches back that far. If it is another publish, this one has not
+// taken effect and never will, because its swap can no longer match.
+std::optional<publish_record> publish_protocol::successor_of_expected_revision(
+    const service_envelope& current, store_revision modified) const {
     const std::vector<publish_record> history =
-        history_through(current, modified);
-    if (expected_ == 0) {
-        // A history that follows an unreadable value does not begin with the
-        // service's first publish.
-        const bool is_whole =
+        history_with_current(current, modified);
+    if (expected_revision_ == 0) {
+        // A history that starts with an unreadable value does not include the
+        // first publish of the service.
+        const bool has_first_publish =
             current.history.size() < service_envelope::max_history &&
             history.front().publish_id != unreadable;
-        return is_whole ? std::optional(history.front()) : std::nullopt;
+        return has_first_publish ? std::optional(history.front())
+                                 : std::nullopt;
     }
-    const auto found = std::find_if(history.begin(), history.end(),
-                                    [this](const publish_record& record) {
-                                        return record.revision == expected_;
-                                    });
+    const auto found = std::find_if(
+        history.begin(), history.end(), [this](const publish_record& record) {
+            return record.revision == expected_revision_;
+        });
     if (found == history.end() || found + 1 == history.end()) {
         return {};
     }
     return *(found + 1);
 }
 
-publish_step publish_protocol::on_lost(const failure& reason, steady_time now) {
+publish_step publish_protocol::on_call_failed(const failure& reason,
+                                              steady_time now) {
     const bool is_swap = phase_ == publish_phase::swapping;
-    has_lost_swap_ = has_lost_swap_ || is_swap;
+    has_unanswered_swap_ = has_unanswered_swap_ || is_swap;
     if (now < deadline_) {
         return send_after_pause(is_swap ? publish_phase::checking : phase_);
     }
-    if (!has_lost_swap_) {
+    if (!has_unanswered_swap_) {
         return finish({.code = result_code::platform_unreachable,
                        .detail = "nothing was written; " + reason.detail});
     }
@@ -207,9 +217,10 @@
     phase_ = phase;
     const std::string key = key_of(plan_.service);
     if (phase == publish_phase::swapping) {
-        return {
-            .next = platform_request(compare_and_swap{
-                .key = key, .expected = expected_, .value = stored_text()})};
+        return {.next = platform_request(
+                    compare_and_swap{.key = key,
+                                     .expected = expected_revision_,
+                                     .value = envelope_text()})};
     }
     return {.next = platform_request(read_range{.key = key})};
 }
@@ -231,7 +242,7 @@
                                                const publish_record& winner) {
     return finish({
         .code = result_code::publish_conflict,
-        .replaced = expected_,
+        .replaced = expected_revision_,
         .other_operator = winner.operator_name,
         .other_revision = winner.revision,
         .difference = line_diff(current.text, plan_.text),
@@ -242,11 +253,11 @@
 
 publish_step publish_protocol::finish_unknown(std::string detail) {
     return finish({.code = result_code::publish_unknown,
-                   .replaced = expected_,
+                   .replaced = expected_revision_,
                    .detail = std::move(detail)});
 }
 
-std::string publish_protocol::stored_text() const {
+std::string publish_protocol::envelope_text() const {
     return to_stored_text({
         .publish_id = plan_.publish_id,
         .operator_name = plan_.operator_name,
--- a/servers/configuration/publish_protocol.hpp
+++ b/servers/configuration/publish_protocol.hpp
@@ -15,50 +15,52 @@
 
 namespace savorydock {
 
-/// What an operator wants published.
+/// A change to one service that an operator publishes.
 struct publish_plan {
     service_name service;
-    /// Unique for this publish; nobody else may ever use it.
+    /// Unique for this publish; must never be used again.
     std::string publish_id;
     std::string operator_name;
     bool is_deleted = false;
-    /// The document, already checked; empty for a deletion.
+    /// The document, already validated; empty for a deletion.
     std::string text;
-    /// The revision the operator's edit began from, if he knows it; else the
-    /// one that the publish finds.
+    /// The revision that the operator's edit is based on, if known; otherwise
+    /// the revision that the publish reads from the store is used.
     std::optional<store_revision> base;
 };
 
-/// What became of a publish. `code` is one of
-/// - `ok`: it took effect, or `is_unchanged` and nothing had to be written;
+/// The result of a publish. `code` is one of
+/// - `ok`: it took effect, or nothing had to be written (`is_unchanged`);
 /// - `publish_conflict`: it did not and will not take effect;
-/// - `publish_unknown`: it may have taken effect or may yet;
+/// - `publish_unknown`: it may have taken effect, or may still do so;
 /// - `platform_unreachable`: nothing was written;
 /// - `not_found`: the service to delete does not exist.
 struct publish_result {
     result_code code = result_code::ok;
-    /// The revision it took effect at, or that was there unchanged.
+    /// The revision at which it took effect, or the unchanged current one.
     store_revision revision = 0;
-    /// The revision it replaced; 0 if the service is new.
+    /// The revision that it replaced; 0 if the service is new.
     store_revision replaced = 0;
     bool is_unchanged = false;
-    /// It took effect and a later publish has replaced it since.
+    /// It took effect, but a later publish has already replaced it.
     bool is_overtaken = false;
-    /// Of a conflict: who won, at which revision, and what this publish
-    /// would change in the document that is there now.
+    /// In a conflict: the operator and the revision of the publish that took
+    /// effect instead, and the line changes from the current document to the
+    /// one of this publish.
     std::string other_operator;
     store_revision other_revision = 0;
     std::string difference;
     std::string detail;
 };
 
-/// The next thing to do: wait, then send the request or tell the result.
+/// The next step: wait for `pause`, then send the request or report the
+/// result.
 struct publish_step {
     std::chrono::milliseconds pause{0};
     std::variant<platform_request, publish_result> next;
 };
 
-/// Where a publish stands. docs/models/publish_race.pml uses the same names.
+/// The phase of a publish. docs/models/publish_race.pml uses the same names.
 enum class publish_phase : std::uint8_t {
     reading,
     swapping,
@@ -66,24 +68,25 @@
     finished,
 };
 
-/// Returns the name of a phase. Thread safe.
+/// Thread safe.
 [[nodiscard]] std::string_view name_of(publish_phase phase);
 
-/// One publish of one service, from the read to a certain result: a
-/// compare-and-swap on the revision read, and, when an answer was lost, a read
-/// back that finds the publish id or shows that it can't have taken effect.
+/// Publishes one service: reads the current revision, then replaces it by
+/// compare-and-swap. If the answer to the swap is lost, reads the key again and
+/// looks for the publish id in the envelope and its history, which shows
+/// whether the swap took effect.
 ///
-/// Deterministic but for the jitter of pauses. Not thread safe. The random
+/// Deterministic except for the jitter of pauses. Not thread safe. The random
 /// source must outlive it.
 class publish_protocol {
 public:
     publish_protocol(publish_plan plan, steady_time deadline,
                      random_source& random);
 
-    /// The first step. Call it once.
+    /// Returns the first step. Call it once.
     [[nodiscard]] publish_step begin();
 
-    /// The step after the answer to the last request.
+    /// Returns the step that follows the reply to the last request.
     /// Precondition: the phase is not `finished`.
     [[nodiscard]] publish_step on_reply(const outcome<platform_answer>& reply,
                                         steady_time now);
@@ -94,8 +97,8 @@
     publish_step on_read(const platform_answer& answer);
     publish_step on_swap(const platform_answer& answer, steady_time now);
     publish_step on_check(const platform_answer& answer, steady_time now);
-    publish_step on_lost(const failure& reason, steady_time now);
-    publish_step judge(const stored_value& current);
+    publish_step on_call_failed(const failure& reason, steady_time now);
+    publish_step resolve_from_history(const stored_value& current);
 
     publish_step send(publish_phase phase);
     publish_step send_after_pause(publish_phase phase);
@@ -104,19 +107,19 @@
                                  const publish_record& winner);
     publish_step finish_unknown(std::string detail);
 
-    [[nodiscard]] std::string stored_text() const;
+    [[nodiscard]] std::string envelope_text() const;
     [[nodiscard]] std::optional<publish_record>
-    successor_of_expected(const service_envelope& current,
-                          store_revision modified) const;
+    successor_of_expected_revision(const service_envelope& current,
+                                   store_revision modified) const;
 
     publish_plan plan_;
     steady_time deadline_;
     random_source& random_;
     publish_phase phase_ = publish_phase::reading;
-    store_revision expected_ = 0;
+    store_revision expected_revision_ = 0;
     std::vector<publish_record> history_;
-    /// A swap was sent whose answer is not known.
-    bool has_lost_swap_ = false;
+    /// A swap was sent and its answer was lost.
+    bool has_unanswered_swap_ = false;
     std::chrono::milliseconds backoff_;
 };
 
--- a/servers/configuration/rendezvous.cpp
+++ b/servers/configuration/rendezvous.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// FNV-1a, then the finalizer of splitmix64 to spread its weak high bits.
+// FNV-1a, followed by the finalizer of splitmix64, because the high bits of
+// FNV-1a are poorly mixed.
 constexpr std::uint64_t fnv_offset = 0xcbf29ce484222325;
 constexpr std::uint64_t fnv_prime = 0x100000001b3;
 
@@ -29,7 +30,7 @@
 
 std::uint64_t stable_hash(std::string_view left, std::string_view right) {
     using namespace std::string_view_literals;
-    // The zero byte keeps ("a", "bc") apart from ("ab", "c").
+    // The zero byte makes ("a", "bc") differ from ("ab", "c").
     return finalize(
         add_text(add_text(add_text(fnv_offset, left), "\0"sv), right));
 }
--- a/servers/configuration/rendezvous.hpp
+++ b/servers/configuration/rendezvous.hpp
@@ -7,14 +7,15 @@
 
 namespace savorydock {
 
-/// A hash of a pair of texts that is the same on every instance and in every
-/// version of the program. Thread safe.
+/// Returns a hash of a pair of texts that is the same on every instance and in
+/// every version of the program. Thread safe.
 [[nodiscard]] std::uint64_t stable_hash(std::string_view left,
                                         std::string_view right);
 
 /// Chooses up to `count` of the candidates for a key by rendezvous hashing:
-/// whoever knows the same candidates chooses the same ones, and a candidate
-/// that comes or goes moves only its own part. Thread safe.
+/// instances with the same list of candidates choose the same ones, and adding
+/// or removing a candidate changes only the choices that include it.
+/// Thread safe.
 [[nodiscard]] std::vector<std::string>
 choose_by_rendezvous(std::string_view key, std::vector<std::string> candidates,
                      std::size_t count);
--- a/servers/configuration/service_envelope.hpp
+++ b/servers/configuration/service_envelope.hpp
@@ -9,31 +9,30 @@
 
 namespace savorydock {
 
-/// The prefix of all service keys in the platform's store.
+/// The prefix of the keys of services in the platform's store.
 inline constexpr std::string_view service_prefix = "/savorydock/services/";
 
-/// Returns the key of a service. Thread safe.
+/// Returns the store key of a service. Thread safe.
 [[nodiscard]] std::string key_of(const service_name& service);
 
-/// Returns the service of a key. Precondition: the key begins with
+/// Returns the service of a store key. Precondition: the key starts with
 /// `service_prefix`. Thread safe.
 [[nodiscard]] service_name service_of(std::string_view key);
 
-/// A publish that an envelope remembers.
+/// One publish in the history of an envelope.
 struct publish_record {
     std::string publish_id;
     std::string operator_name;
-    /// The revision it took effect at.
+    /// The revision at which it took effect.
     store_revision revision = 0;
 };
 
-/// What the store keeps under a service's key: the document as published,
-/// and who published the last revisions, so that a writer whose answer was
-/// lost can tell what became of its write. The store's revision of the key is
-/// the revision of the service. A deletion is an envelope too, so that its
-/// place among the revisions is never lost.
+/// The value under a service's key in the store: the document as published and
+/// the history of the last publishes, so that an operator whose answer was lost
+/// can find out whether the write took effect. The store's revision of the key
+/// is the revision of the service. A deletion is stored as an envelope as well,
+/// so that it has a revision like any other change.
 struct service_envelope {
-    /// Unique for each publish.
     std::string publish_id;
     std::string operator_name;
     bool is_deleted = false;
@@ -47,7 +46,7 @@
 /// Returns the stored form. Thread safe.
 [[nodiscard]] std::string to_stored_text(const service_envelope& envelope);
 
-/// Reads the stored form; members it does not know are passed over.
+/// Parses the stored form; unknown members are ignored.
 /// Errors: `invalid_document`. Thread safe.
 [[nodiscard]] outcome<service_envelope>
 parse_service_envelope(std::string_view text);
--- a/tests/servers/configuration/configuration_fleet.hpp
+++ b/tests/servers/configuration/configuration_fleet.hpp
@@ -14,23 +14,25 @@
 
 namespace savorydock {
 
-/// What becomes of one message between instances.
-struct message_fate {
-    /// 0 loses the message, 2 doubles it.
+/// How a message between instances is delivered.
+struct message_delivery {
+    /// 0 loses the message, 2 duplicates it.
     std::uint32_t copies = 1;
     std::chrono::microseconds delay{1'500};
 };
 
-/// What becomes of one call to the platform.
-struct platform_fate {
+/// The simulated outcome of a call to the platform.
+struct platform_call_outcome {
     std::chrono::milliseconds delay{5};
+    /// The caller gets a failure instead of the answer.
     bool is_lost = false;
     bool has_effect = true;
 };
 
-/// A message pump in virtual time for configuration servers: one queue, one
-/// platform, hooks that decide the fate of each message and call. Checks that
-/// no instance ever goes back.
+/// Runs configuration servers in virtual time with one event queue and one
+/// platform. Hooks decide how each message is delivered and how each call to
+/// the platform ends. Counts regressions: cases in which an instance put an
+/// older revision of a service in force, or removed the service.
 class configuration_fleet {
 public:
     struct member {
@@ -38,12 +40,13 @@
         availability_zone zone;
         std::unique_ptr<seeded_random_source> random;
         std::unique_ptr<configuration_server> server;
-        /// Counts restarts, so that messages to an earlier life are dropped.
-        std::uint32_t life = 0;
+        /// Counts starts, so that events and replies for an earlier incarnation
+        /// are dropped.
+        std::uint32_t incarnation = 0;
         bool is_running = false;
-        /// The highest revision of each service that was ever in force.
-        std::map<service_name, store_revision> seen;
-        std::uint32_t times_back = 0;
+        /// The highest revision of each service that has been in force.
+        std::map<service_name, store_revision> highest;
+        std::uint32_t regressions = 0;
     };
 
     configuration_fleet(std::size_t size, std::size_t zones, std::uint64_t seed)
@@ -64,31 +67,32 @@
     }
 
     void start(std::size_t i) {
-        member& one = *members[i];
-        ++one.life;
-        one.is_running = true;
-        one.random = std::make_unique<seeded_random_source>(
-            seed_ + i + one.life * 100'000ULL);
-        one.server = std::make_unique<configuration_server>(
-            configuration_server_options{.instance = one.name,
-                                         .zone = one.zone,
+        member& instance = *members[i];
+        ++instance.incarnation;
+        instance.is_running = true;
+        instance.random = std::make_unique<seeded_random_source>(
+            seed_ + i + instance.incarnation * 100'000ULL);
+        instance.server = std::make_unique<configuration_server>(
+            configuration_server_options{.instance = instance.name,
+                                         .zone = instance.zone,
                                          .on_view =
-                                             [this, &one](auto view) {
-                                                 has_news_ = true;
-                                                 check(one, *view);
+                                             [this, &instance](auto view) {
+                                                 has_change_ = true;
+                                                 count_regressions(instance,
+                                                                   *view);
                                              }},
-            *one.random);
-        one.server->on_instances(known(), now);
-        tick(i, one.life, std::chrono::milliseconds(i % tick_ms));
+            *instance.random);
+        instance.server->on_instances(known_instances(), now);
+        tick(i, instance.incarnation, std::chrono::milliseconds(i % tick_ms));
     }
 
     void stop(std::size_t i) { members[i]->is_running = false; }
 
-    /// Tells all running members who is alive now.
-    void tell_members() {
-        for (auto& one : members) {
-            if (one->is_running) {
-                one->server->on_instances(known(), now);
+    /// Informs all running members which instances are alive.
+    void update_membership() {
+        for (auto& instance : members) {
+            if (instance->is_running) {
+                instance->server->on_instances(known_instances(), now);
             }
         }
     }
@@ -97,14 +101,15 @@
         run_until([] { return false; }, time);
     }
 
-    /// Runs until the condition holds; returns whether it came to hold. It is
-    /// looked at when a view has changed or a publish has ended.
+    /// Runs until the condition holds or the time is over; returns whether it
+    /// holds. The condition is evaluated when a view has changed or a publish
+    /// has finished.
     bool run_until(const std::function<bool()>& condition,
                    std::chrono::milliseconds limit) {
         const steady_time end = now + limit;
-        has_news_ = true;
+        has_change_ = true;
         while (true) {
-            if (std::exchange(has_news_, false) && condition()) {
+            if (std::exchange(has_change_, false) && condition()) {
                 return true;
             }
             if (events_.empty() || events_.top().at > end) {
@@ -118,7 +123,7 @@
         }
     }
 
-    /// Publishes over the same platform, with the same fates for its calls.
+    /// Publishes through the same platform, with the same hook for its calls.
     void publish(const service_name& service, std::string text,
                  const std::string& id,
                  std::function<void(const publish_result&)> on_result) {
@@ -131,27 +136,29 @@
         advance(protocol, protocol->begin(), std::move(on_result));
     }
 
-    /// How many running members have the revision or a later one in force.
+    /// Number of running members that have the revision or a later one in
+    /// force.
     [[nodiscard]] std::size_t count_at(const service_name& service,
                                        store_revision revision) const {
         std::size_t count = 0;
-        for (const auto& one : members) {
-            count += revision_at(*one, service) >= revision ? 1 : 0;
+        for (const auto& instance : members) {
+            count += revision_at(*instance, service) >= revision ? 1 : 0;
         }
         return count;
     }
 
     [[nodiscard]] static store_revision
-    revision_at(const member& one, const service_name& service) {
-        const auto view = one.is_running ? one.server->view() : nullptr;
+    revision_at(const member& instance, const service_name& service) {
+        const auto view =
+            instance.is_running ? instance.server->view() : nullptr;
         const auto* const held = view ? view->find(service) : nullptr;
         return held == nullptr ? 0 : held->revision;
     }
 
-    [[nodiscard]] std::uint32_t times_back() const {
+    [[nodiscard]] std::uint32_t regressions() const {
         std::uint32_t sum = 0;
-        for (const auto& one : members) {
-            sum += one->times_back;
+        for (const auto& instance : members) {
+            sum += instance->regressions;
         }
         return sum;
     }
@@ -161,33 +168,34 @@
     std::vector<std::unique_ptr<member>> members;
     std::uint64_t platform_calls = 0;
     std::map<log_event, int> logged;
-    std::function<message_fate(const peer_message&)> fate_of_message =
-        [](const peer_message&) { return message_fate{}; };
-    std::function<platform_fate(const platform_request&)> fate_of_call =
-        [](const platform_request&) { return platform_fate{}; };
-    /// Whether an instance is cut off from the platform.
+    std::function<message_delivery(const peer_message&)> message_delivery_of =
+        [](const peer_message&) { return message_delivery{}; };
+    std::function<platform_call_outcome(const platform_request&)>
+        platform_call_outcome_of =
+            [](const platform_request&) { return platform_call_outcome{}; };
+    /// Whether an instance can't reach the platform.
     std::function<bool(const member&)> is_cut_off = [](const member&) {
         return false;
     };
-    /// A message as it arrives, before the instance gets it.
+    /// Called with each message before it is delivered to the instance.
     std::function<void(const peer_message&)> on_arrival =
         [](const peer_message&) {};
 
     void deliver(const peer_message& message) {
         const auto found = index_.find(message.to);
-        member& one = *members[found->second];
-        if (!one.is_running) {
+        member& instance = *members[found->second];
+        if (!instance.is_running) {
             return;
         }
         command_list out;
-        one.server->on_peer_message(message, now, out);
-        carry_out(found->second, out);
+        instance.server->on_peer_message(message, now, out);
+        execute(found->second, out);
     }
 
 private:
     static constexpr std::size_t tick_ms = 250;
     static constexpr std::chrono::seconds watch_time{10};
-    static constexpr std::chrono::seconds cut_timeout{5};
+    static constexpr std::chrono::seconds cut_off_timeout{5};
 
     struct event {
         steady_time at;
@@ -203,35 +211,36 @@
         std::function<void(outcome<platform_answer>)> reply;
     };
 
-    void at(steady_time time, std::function<void()> run) {
+    void schedule(steady_time time, std::function<void()> run) {
         events_.push({time, ++order_, std::move(run)});
     }
 
-    [[nodiscard]] std::vector<known_instance> known() const {
+    [[nodiscard]] std::vector<known_instance> known_instances() const {
         std::vector<known_instance> all;
-        for (const auto& one : members) {
-            all.push_back({.instance = one->name,
-                           .zone = one->zone,
-                           .is_alive = one->is_running || one->life == 0});
+        for (const auto& instance : members) {
+            all.push_back({.instance = instance->name,
+                           .zone = instance->zone,
+                           .is_alive = instance->is_running ||
+                                       instance->incarnation == 0});
         }
         return all;
     }
 
-    void tick(std::size_t i, std::uint32_t life,
+    void tick(std::size_t i, std::uint32_t incarnation,
               std::chrono::milliseconds delay) {
-        at(now + delay, [this, i, life] {
-            member& one = *members[i];
-            if (!one.is_running || one.life != life) {
+        schedule(now + delay, [this, i, incarnation] {
+            member& instance = *members[i];
+            if (!instance.is_running || instance.incarnation != incarnation) {
                 return;
             }
             command_list out;
-            one.server->on_tick(now, out);
-            carry_out(i, out);
-            tick(i, life, std::chrono::milliseconds(tick_ms));
+            instance.server->on_tick(now, out);
+            execute(i, out);
+            tick(i, incarnation, std::chrono::milliseconds(tick_ms));
         });
     }
 
-    void carry_out(std::size_t i, const command_list& out) {
+    void execute(std::size_t i, const command_list& out) {
         for (const control_command& command : out) {
             if (const auto* message = std::get_if<peer_message>(&command)) {
                 send(*message);
@@ -245,72 +254,77 @@
     }
 
     void call_platform(std::size_t i, const platform_call& call) {
-        const std::uint32_t life = members[i]->life;
-        const auto on_reply = [this, i, life,
+        const std::uint32_t incarnation = members[i]->incarnation;
+        const auto on_reply = [this, i, incarnation,
                                ticket = call.ticket](auto answer) {
-            reply(i, life, {ticket, std::move(answer)});
+            reply(i, incarnation, {ticket, std::move(answer)});
         };
         if (!is_cut_off(*members[i])) {
             submit(call.request, on_reply);
             return;
         }
-        at(now + cut_timeout, [on_reply] {
+        schedule(now + cut_off_timeout, [on_reply] {
             on_reply(failure{result_code::platform_unreachable, "cut"});
         });
     }
 
     void send(const peer_message& message) {
-        const message_fate fate = fate_of_message(message);
-        for (std::uint32_t copy = 0; copy < fate.copies; ++copy) {
-            at(now + fate.delay * (copy + 1), [this, message] {
+        const message_delivery delivery = message_delivery_of(message);
+        for (std::uint32_t copy = 0; copy < delivery.copies; ++copy) {
+            schedule(now + delivery.delay * (copy + 1), [this, message] {
                 on_arrival(message);
                 deliver(message);
             });
         }
     }
 
-    void reply(std::size_t i, std::uint32_t life,
+    void reply(std::size_t i, std::uint32_t incarnation,
                const platform_reply& answer) {
-        member& one = *members[i];
-        if (!one.is_running || one.life != life) {
+        member& instance = *members[i];
+        if (!instance.is_running || instance.incarnation != incarnation) {
             return;
         }
         command_list out;
-        one.server->on_platform_reply(answer, now, out);
-        carry_out(i, out);
+        instance.server->on_platform_reply(answer, now, out);
+        execute(i, out);
     }
 
     void submit(const platform_request& request,
                 const std::function<void(outcome<platform_answer>)>& on_reply) {
         ++platform_calls;
-        const platform_fate fate = fate_of_call(request);
-        at(now + fate.delay / 2, [this, request, fate, on_reply] {
+        const platform_call_outcome call_outcome =
+            platform_call_outcome_of(request);
+        schedule(now + call_outcome.delay / 2, [this, request, call_outcome,
+                                                on_reply] {
             const bool is_watch = std::holds_alternative<watch_prefix>(request);
-            if (is_watch && !fate.is_lost) {
-                wait(std::get<watch_prefix>(request), fate, on_reply);
+            if (is_watch && !call_outcome.is_lost) {
+                start_watch(std::get<watch_prefix>(request), call_outcome,
+                            on_reply);
                 return;
             }
             outcome<platform_answer> answer =
                 failure{result_code::platform_unreachable, "lost"};
-            if (fate.has_effect && !is_watch) {
+            if (call_outcome.has_effect && !is_watch) {
                 answer = platform.answer(request);
                 wake_watches();
             }
-            if (fate.is_lost) {
+            if (call_outcome.is_lost) {
                 answer = failure{result_code::platform_unreachable, "lost"};
             }
-            at(now + fate.delay / 2, [on_reply, answer] { on_reply(answer); });
+            schedule(now + call_outcome.delay / 2,
+                     [on_reply, answer] { on_reply(answer); });
         });
     }
 
-    void wait(const watch_prefix& watch, platform_fate fate,
-              const std::function<void(outcome<platform_answer>)>& on_reply) {
+    void
+    start_watch(const watch_prefix& watch, platform_call_outcome call_outcome,
+                const std::function<void(outcome<platform_answer>)>& on_reply) {
         const std::uint64_t id = ++next_watch_;
-        watches_[id] = {watch, [this, fate, on_reply](auto answer) {
-                            at(now + fate.delay / 2,
-                               [on_reply, answer] { on_reply(answer); });
+        watches_[id] = {watch, [this, call_outcome, on_reply](auto answer) {
+                            schedule(now + call_outcome.delay / 2,
+                                     [on_reply, answer] { on_reply(answer); });
                         }};
-        at(now + watch_time, [this, id] {
+        schedule(now + watch_time, [this, id] {
             const auto found = watches_.find(id);
             if (found != watches_.end()) {
                 const auto answer = found->second.reply;
@@ -322,13 +336,13 @@
     }
 
     void wake_watches() {
-        for (auto one = watches_.begin(); one != watches_.end();) {
-            if (!platform.has_change_since(one->second.watch)) {
-                ++one;
+        for (auto watch = watches_.begin(); watch != watches_.end();) {
+            if (!platform.has_change_since(watch->second.watch)) {
+                ++watch;
                 continue;
             }
-            const auto answer = one->second.reply;
-            one = watches_.erase(one);
+            const auto answer = watch->second.reply;
+            watch = watches_.erase(watch);
             answer(platform_answer{.revision = platform.revision()});
         }
     }
@@ -337,31 +351,32 @@
                  const publish_step& step,
                  const std::function<void(const publish_result&)>& on_result) {
         if (const auto* result = std::get_if<publish_result>(&step.next)) {
-            has_news_ = true;
+            has_change_ = true;
             on_result(*result);
             return;
         }
         const auto request = std::get<platform_request>(step.next);
-        at(now + step.pause, [this, protocol, request, on_result] {
+        schedule(now + step.pause, [this, protocol, request, on_result] {
             submit(request, [this, protocol, on_result](auto answer) {
                 advance(protocol, protocol->on_reply(answer, now), on_result);
             });
         });
     }
 
-    static void check(member& one, const configuration_view& view) {
+    static void count_regressions(member& instance,
+                                  const configuration_view& view) {
         for (const auto& [name, held] : view.services()) {
-            store_revision& seen = one.seen[name];
-            one.times_back += held.revision < seen ? 1 : 0;
-            seen = std::max(seen, held.revision);
+            store_revision& highest = instance.highest[name];
+            instance.regressions += held.revision < highest ? 1 : 0;
+            highest = std::max(highest, held.revision);
         }
-        for (const auto& [name, seen] : one.seen) {
-            one.times_back += view.find(name) == nullptr ? 1 : 0;
+        for (const auto& [name, highest] : instance.highest) {
+            instance.regressions += view.find(name) == nullptr ? 1 : 0;
         }
     }
 
     std::uint64_t seed_;
-    bool has_news_ = false;
+    bool has_change_ = false;
     seeded_random_source operator_random_{99};
     std::map<instance_id, std::size_t> index_;
     std::priority_queue<event> events_;
@@ -370,7 +385,7 @@
     std::uint64_t next_watch_ = 0;
 };
 
-/// A valid document whose one interesting number is `mark`.
+/// Returns a valid document that holds `mark`, so that revisions differ.
 inline std::string document_text(const std::string& service, int mark,
                                  std::size_t upstreams = 0) {
     std::string text = "{\"service\": \"" + service +
--- a/tests/servers/configuration/configuration_spread_benchmark.cpp
+++ b/tests/servers/configuration/configuration_spread_benchmark.cpp
@@ -1,8 +1,9 @@
-// How the spread of configuration grows with the fleet, in virtual time.
-// Counters: seconds from publish to in force on all instances (p50 and max),
-// bytes a second of control traffic each instance sends and receives, calls
-// a second of the whole fleet to the platform, CPU as a share of one core
-// for each instance (the pump's own time is in it).
+// Measures how the cost of distributing configuration grows with the number of
+// instances, in virtual time. Counters: seconds from a publish until it is in
+// force on all instances (median and maximum), control traffic per instance in
+// bytes per second sent and received, platform calls per second of the whole
+// fleet, and CPU per instance as a share of one core (includes the time of the
+// simulation itself).
 #include "tests/servers/configuration/configuration_fleet.hpp"
 
 #include <benchmark/benchmark.h>
@@ -20,10 +21,10 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t services = 20;
-/// About 8 KB a document.
+/// Documents of about 8 KB.
 constexpr std::size_t upstreams_each = 120;
 constexpr int publishes = 40;
-/// 33,000 changes a day.
+/// Corresponds to 33,000 changes per day.
 constexpr std::chrono::milliseconds publish_interval{2'618};
 constexpr std::size_t small_fleet_zones = 4;
 constexpr std::size_t large_fleet_zones = 15;
@@ -37,7 +38,7 @@
     return std::chrono::duration<double>(time).count();
 }
 
-// What is allocated now; the figure covers the pump's share too.
+// Bytes currently allocated, including those of the simulation itself.
 double heap_bytes() {
     const auto info = mallinfo2();
     return static_cast<double>(info.uordblks + info.hblkhd);
@@ -47,14 +48,14 @@
     std::uint64_t sent = 0;
     std::uint64_t received = 0;
     std::uint64_t messages = 0;
-    /// Received by the one that received most: a watcher.
+    /// Received by the instance that received most, which is a watcher.
     std::uint64_t received_most = 0;
 };
 
 traffic_sum traffic_of(const configuration_fleet& fleet) {
     traffic_sum sum;
-    for (const auto& one : fleet.members) {
-        const auto counters = one->server->counters();
+    for (const auto& instance : fleet.members) {
+        const auto counters = instance->server->counters();
         sum.sent += counters.peer_bytes_sent;
         const std::uint64_t received =
             counters.peer_bytes_received + counters.platform_bytes_received;
@@ -65,7 +66,8 @@
     return sum;
 }
 
-/// Publishes one change and returns how long it took to be in force on all.
+/// Publishes one change and returns the seconds until it is in force on all
+/// instances.
 double publish_one(configuration_fleet& fleet, int number, int mark) {
     const service_name service =
         service_at(static_cast<std::size_t>(number) % services);
@@ -92,8 +94,8 @@
     for (auto _ : state) {
         const double before = heap_bytes();
         configuration_fleet fleet(size, zones, 11);
-        fleet.fate_of_call = [&](const platform_request&) {
-            return platform_fate{.delay = call_time};
+        fleet.platform_call_outcome_of = [&](const platform_request&) {
+            return platform_call_outcome{.delay = call_time};
         };
         for (std::size_t i = 0; i < services; ++i) {
             fleet.platform.put(
@@ -139,7 +141,7 @@
             static_cast<double>(fleet.platform_calls - calls) / span;
         state.counters["cpu_percent"] = 100 * used / span / count;
         state.counters["memory_KB"] = (heap_bytes() - before) / 1024 / count;
-        state.counters["times_back"] = fleet.times_back();
+        state.counters["times_back"] = fleet.regressions();
     }
 }
 
--- a/tests/servers/configuration/memory_platform.hpp
+++ b/tests/servers/configuration/memory_platform.hpp
@@ -7,8 +7,9 @@
 
 namespace savorydock {
 
-/// The platform's store at the level of its messages: linearizable, one map,
-/// reads and swaps only. Watches are up to the caller.
+/// An in-memory implementation of the platform's store at the level of its
+/// messages: linearizable, with reads and swaps only. Watches are left to the
+/// caller.
 class memory_platform {
 public:
     platform_answer answer(const platform_request& request) {
@@ -32,12 +33,13 @@
     }
 
     [[nodiscard]] store_revision revision() const { return revision_; }
-    /// Writes of other users of the store move its revision too.
-    void write_elsewhere() { ++revision_; }
+    /// Increases the store's revision, like a write of another user of the
+    /// store.
+    void advance_revision() { ++revision_; }
     [[nodiscard]] const std::map<std::string, stored_value>& values() const {
         return values_;
     }
-    /// A write around all checks.
+    /// Writes without any check.
     void put(const std::string& key, std::string value) {
         stored_value& slot = values_[key];
         slot.key = key;
--- a/tests/servers/configuration/publish_protocol_test.cpp
+++ b/tests/servers/configuration/publish_protocol_test.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/// What becomes of one call to the store.
-enum class call_fate : std::uint8_t {
+/// The simulated outcome of a call to the store.
+enum class call_outcome : std::uint8_t {
     answered,
     lost_before_effect,
     lost_after_effect,
-    /// The answer is lost and the effect comes later, maybe never.
+    /// The answer is lost and the call takes effect later or never.
     lost_and_delayed,
 };
 
@@ -33,7 +33,7 @@
             .text = text};
 }
 
-/// One operator's publish against the store, a call at a time.
+/// Runs the publish of one operator against the store, one call at a time.
 class publisher_run {
 public:
     publisher_run(publish_plan plan, random_source& random,
@@ -49,25 +49,26 @@
         return std::get<publish_result>(step_.next);
     }
 
-    void call(memory_platform& store, call_fate fate,
+    void call(memory_platform& store, call_outcome outcome_of_call,
               std::vector<platform_request>& delayed) {
         now_ += step_.pause + 100ms;
         const auto request = std::get<platform_request>(step_.next);
         outcome<platform_answer> reply =
             failure{result_code::platform_unreachable, "lost"};
-        if (fate == call_fate::answered) {
+        if (outcome_of_call == call_outcome::answered) {
             reply = store.answer(request);
-        } else if (fate == call_fate::lost_after_effect) {
+        } else if (outcome_of_call == call_outcome::lost_after_effect) {
             store.answer(request);
-        } else if (fate == call_fate::lost_and_delayed) {
+        } else if (outcome_of_call == call_outcome::lost_and_delayed) {
             delayed.push_back(request);
         }
         step_ = protocol_.on_reply(reply, now_);
     }
 
-    void call(memory_platform& store, call_fate fate = call_fate::answered) {
+    void call(memory_platform& store,
+              call_outcome outcome_of_call = call_outcome::answered) {
         std::vector<platform_request> delayed;
-        call(store, fate, delayed);
+        call(store, outcome_of_call, delayed);
     }
 
     [[nodiscard]] std::string_view phase() const {
@@ -89,7 +90,7 @@
     steady_time now_{};
 };
 
-/// The revision at which each publish truly took effect.
+/// The revision at which each publish took effect, read from the store.
 std::map<std::string, store_revision> effects_of(const memory_platform& store) {
     std::map<std::string, store_revision> effects;
     for (const auto& [key, value] : store.values()) {
@@ -124,7 +125,7 @@
     EXPECT_TRUE(publish("d", "two\n").is_unchanged);
 }
 
-TEST_F(publish_protocol_test, racing_publish_is_told_the_winner_and_lines) {
+TEST_F(publish_protocol_test, racing_publish_reports_the_winner_and_lines) {
     publish("a", "same\nold\n");
     publisher_run late(plan_of("late", "same\nmine\n"), random_);
     late.call(store_);
@@ -146,7 +147,7 @@
     EXPECT_EQ(result.other_operator, "operator-b");
 }
 
-TEST_F(publish_protocol_test, deletion_keeps_its_place_among_revisions) {
+TEST_F(publish_protocol_test, deletion_gets_a_revision_of_its_own) {
     const auto first = publish("a", "one\n");
     publish_plan plan = plan_of("gone", "");
     plan.is_deleted = true;
@@ -160,8 +161,8 @@
 
 struct lost_answer_case {
     const char* name;
-    call_fate fate;
-    /// Publishes by others between the lost answer and the read back.
+    call_outcome outcome_of_call;
+    /// Publishes by others between the lost answer and the next read.
     std::size_t others;
     result_code code;
     bool is_overtaken;
@@ -179,7 +180,7 @@
     memory_platform store;
     publisher_run run(plan_of("mine", "mine\n"), random);
     run.call(store);
-    run.call(store, row.fate);
+    run.call(store, row.outcome_of_call);
     for (std::size_t i = 0; i < row.others; ++i) {
         const std::string id = "other" + std::to_string(i);
         publisher_run(plan_of(id, id + "\n"), random).finish(store);
@@ -194,40 +195,45 @@
 
 INSTANTIATE_TEST_SUITE_P(
     faults, lost_swap_test,
-    ::testing::Values(
-        lost_answer_case{"effect", call_fate::lost_after_effect, 0,
-                         result_code::ok, false},
-        lost_answer_case{"no_effect", call_fate::lost_before_effect, 0,
-                         result_code::ok, false},
-        lost_answer_case{"effect_then_overtaken", call_fate::lost_after_effect,
-                         3, result_code::ok, true},
-        lost_answer_case{"no_effect_then_beaten", call_fate::lost_before_effect,
-                         3, result_code::publish_conflict, false},
-        lost_answer_case{"beaten_beyond_memory", call_fate::lost_before_effect,
-                         service_envelope::max_history + 1,
-                         result_code::publish_unknown, false}),
+    ::testing::Values(lost_answer_case{"effect",
+                                       call_outcome::lost_after_effect, 0,
+                                       result_code::ok, false},
+                      lost_answer_case{"no_effect",
+                                       call_outcome::lost_before_effect, 0,
+                                       result_code::ok, false},
+                      lost_answer_case{"effect_then_overtaken",
+                                       call_outcome::lost_after_effect, 3,
+                                       result_code::ok, true},
+                      lost_answer_case{"no_effect_then_conflict",
+                                       call_outcome::lost_before_effect, 3,
+                                       result_code::publish_conflict, false},
+                      lost_answer_case{"conflict_beyond_history",
+                                       call_outcome::lost_before_effect,
+                                       service_envelope::max_history + 1,
+                                       result_code::publish_unknown, false}),
     [](const auto& row) { return row.param.name; });
 
-TEST_F(publish_protocol_test, platform_out_before_the_swap_nothing_is_written) {
+TEST_F(publish_protocol_test, outage_before_the_swap_writes_nothing) {
     publisher_run run(plan_of("a", "one\n"), random_);
     while (!run.is_over()) {
-        run.call(store_, call_fate::lost_before_effect);
+        run.call(store_, call_outcome::lost_before_effect);
     }
     EXPECT_EQ(run.result().code, result_code::platform_unreachable);
     EXPECT_TRUE(store_.values().empty());
 }
 
-TEST_F(publish_protocol_test, platform_out_after_the_swap_is_unknown) {
+TEST_F(publish_protocol_test, outage_after_the_swap_is_unknown) {
     publisher_run run(plan_of("a", "one\n"), random_);
     run.call(store_);
     while (!run.is_over()) {
-        run.call(store_, call_fate::lost_before_effect);
+        run.call(store_, call_outcome::lost_before_effect);
     }
     EXPECT_EQ(run.result().code, result_code::publish_unknown);
 }
 
-// All runs of up to six calls, each with any fate, with or without a publish
-// by somebody else before it: the code takes exactly the model's transitions.
+// Enumerates all runs of up to six calls, each with any outcome and with or
+// without a publish of another operator before it. The code must take exactly
+// the transitions listed in the model.
 TEST_F(publish_protocol_test, transitions_are_those_of_the_model) {
     constexpr std::size_t ways = 6;
     constexpr std::size_t runs = ways * ways * ways * ways * ways * ways;
@@ -241,7 +247,7 @@
                 publisher_run(plan_of(id, id), random_).finish(store);
             }
             const std::string before(run.phase());
-            run.call(store, static_cast<call_fate>(rest % ways / 2));
+            run.call(store, static_cast<call_outcome>(rest % ways / 2));
             taken.insert(before + " -> " + std::string(run.phase()));
         }
     }
@@ -257,8 +263,9 @@
     EXPECT_EQ(taken, modelled);
 }
 
-// Any interleaving of any fates: a told result is a true one.
-RC_GTEST_PROP(publish_protocol_property, told_results_are_true, ()) {
+// For any interleaving and any call outcomes, the reported result of a publish
+// agrees with the content of the store.
+RC_GTEST_PROP(publish_protocol_property, reported_results_are_true, ()) {
     seeded_random_source random(7);
     memory_platform store;
     std::vector<platform_request> delayed;
@@ -276,15 +283,15 @@
         waiting.push_back(run.get());
     }
     while (!waiting.empty()) {
-        // Any number serves; a range would shrink to its low end.
+        // Any number will do; gen::inRange would favor the first publishers.
         const std::size_t next =
             *rc::gen::arbitrary<std::uint16_t>() % waiting.size();
         waiting[next]->call(store,
-                            *rc::gen::weightedElement<call_fate>(
-                                {{6, call_fate::answered},
-                                 {1, call_fate::lost_before_effect},
-                                 {1, call_fate::lost_after_effect},
-                                 {1, call_fate::lost_and_delayed}}),
+                            *rc::gen::weightedElement<call_outcome>(
+                                {{6, call_outcome::answered},
+                                 {1, call_outcome::lost_before_effect},
+                                 {1, call_outcome::lost_after_effect},
+                                 {1, call_outcome::lost_and_delayed}}),
                             delayed);
         if (waiting[next]->is_over()) {
             waiting.erase(waiting.begin() + static_cast<std::ptrdiff_t>(next));
