--- a/drivers/feed/store_feed.cpp
+++ b/drivers/feed/store_feed.cpp
@@ -216,13 +216,13 @@
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::steady_clock::now() - store_.last_contact());
     if (age < max_contact_age && has_current_copies()) {
-        feed_beat message{.term = term_.term()->revision, .age = age};
+        feed_heartbeat message{.term = term_.term()->revision, .age = age};
         for (const auto& source : subscriptions_) {
             message.numbers.push_back(source->pushes);
         }
         const std::string body = wire::encode(message);
         for (const instance_id& follower : followers()) {
-            send(follower, peer_topic::feed_beat, body);
+            send(follower, peer_topic::feed_heartbeat, body);
         }
     }
     beat_timer_.expires_after(beat_period);
@@ -264,13 +264,13 @@
 void store_feed::on_message(const peer_message& message) {
     if (message.topic == peer_topic::feed_push) {
         take_push(message);
-    } else if (message.topic == peer_topic::feed_beat) {
+    } else if (message.topic == peer_topic::feed_heartbeat) {
         take_beat(message);
     } else if (message.topic == peer_topic::feed_request && is_feeder()) {
         const auto request = wire::decode<feed_request>(message.body);
         for (const auto& source : subscriptions_) {
             if (request && source->mirror.prefix() == request->prefix &&
-                source->mirror.copy().is_filled()) {
+                source->mirror.copy().has_snapshot()) {
                 send_snapshot(*source, message.from);
             }
         }
@@ -284,11 +284,11 @@
     }
     const auto verdict = follower_.on_push(message.from, *push,
                                            std::chrono::steady_clock::now());
-    if (verdict == push_verdict::request) {
+    if (verdict == push_action::request_snapshot) {
         send(message.from, peer_topic::feed_request,
              wire::encode(feed_request{.prefix = push->prefix}));
     }
-    if (verdict != push_verdict::take) {
+    if (verdict != push_action::apply) {
         return;
     }
     for (const auto& source : subscriptions_) {
@@ -314,12 +314,12 @@
 }
 
 void store_feed::take_beat(const peer_message& message) {
-    const auto beat = wire::decode<feed_beat>(message.body);
+    const auto beat = wire::decode<feed_heartbeat>(message.body);
     if (!beat || is_feeder()) {
         return;
     }
-    const auto wanted = follower_.on_beat(message.from, *beat,
-                                          std::chrono::steady_clock::now());
+    const auto wanted = follower_.on_heartbeat(
+        message.from, *beat, std::chrono::steady_clock::now());
     for (const std::string& prefix : wanted) {
         send(message.from, peer_topic::feed_request,
              wire::encode(feed_request{.prefix = prefix}));
--- a/drivers/node/node_instance.cpp
+++ b/drivers/node/node_instance.cpp
@@ -349,7 +349,7 @@
         for (const auto& [model, version] : fleet_mirror_.wanted_versions()) {
             driver->on_wanted_version(model, version);
         }
-        if (control_keys().is_filled()) {
+        if (control_keys().has_snapshot()) {
             const auto& keys = control_keys().values();
             const auto key = keys.find(term_key(service.name));
             driver->on_term_key(key == keys.end() ? nullptr : &key->second);
@@ -517,7 +517,7 @@
 void node_instance::impl::on_peer_message(const peer_message& message) {
     switch (message.topic) {
     case peer_topic::feed_push:
-    case peer_topic::feed_beat:
+    case peer_topic::feed_heartbeat:
     case peer_topic::feed_request:
         feed_.on_message(message);
         break;
--- a/servers/control_server.hpp
+++ b/servers/control_server.hpp
@@ -29,7 +29,7 @@
     weights = 6,
     explain = 7,
     feed_push = 8,
-    feed_beat = 9,
+    feed_heartbeat = 9,
     feed_request = 10,
     run_order = 11,
     run_report = 12,
--- a/servers/feed/feed_follower.cpp
+++ b/servers/feed/feed_follower.cpp
@@ -8,13 +8,14 @@
     : options_(std::move(options))
     , prefixes_(options_.prefixes.size()) {}
 
-void feed_follower::adopt(const instance_id& feeder, store_revision term) {
+void feed_follower::follow_newer_term(const instance_id& feeder,
+                                      store_revision term) {
     if (term <= term_) {
         return;
     }
     feeder_ = feeder;
     term_ = term;
-    fresh_at_ = {};
+    last_contact_ = {};
     prefixes_.assign(options_.prefixes.size(), {});
 }
 
@@ -28,48 +29,50 @@
     return static_cast<std::size_t>(found - options_.prefixes.begin());
 }
 
-std::vector<std::string> feed_follower::on_beat(const instance_id& feeder,
-                                                const feed_beat& beat,
-                                                steady_time now) {
-    adopt(feeder, beat.term);
-    std::vector<std::string> wanted;
-    if (beat.term != term_ || beat.numbers.size() != prefixes_.size()) {
-        return wanted;
+std::vector<std::string>
+feed_follower::on_heartbeat(const instance_id& feeder,
+                            const feed_heartbeat& heartbeat, steady_time now) {
+    follow_newer_term(feeder, heartbeat.term);
+    std::vector<std::string> to_request;
+    if (heartbeat.term != term_ ||
+        heartbeat.numbers.size() != prefixes_.size()) {
+        return to_request;
     }
-    fresh_at_ = std::max(fresh_at_, now - beat.age);
-    for (std::size_t at = 0; at < prefixes_.size(); ++at) {
-        prefix_state& state = prefixes_[at];
+    last_contact_ = std::max(last_contact_, now - heartbeat.age);
+    for (std::size_t i = 0; i < prefixes_.size(); ++i) {
+        prefix_state& state = prefixes_[i];
         const bool is_behind =
-            !state.number || *state.number < beat.numbers[at];
-        if (is_behind && now >= state.requested_at + options_.request_gap) {
+            !state.number || *state.number < heartbeat.numbers[i];
+        if (is_behind &&
+            now >= state.requested_at + options_.request_interval) {
             state.requested_at = now;
-            wanted.push_back(options_.prefixes[at]);
+            to_request.push_back(options_.prefixes[i]);
         }
     }
-    return wanted;
+    return to_request;
 }
 
-push_verdict feed_follower::on_push(const instance_id& feeder,
-                                    const feed_push& push, steady_time now) {
-    adopt(feeder, push.term);
+push_action feed_follower::on_push(const instance_id& feeder,
+                                   const feed_push& push, steady_time now) {
+    follow_newer_term(feeder, push.term);
     const auto index = index_of(push.prefix);
     if (push.term != term_ || !index) {
-        return push_verdict::ignore;
+        return push_action::ignore;
     }
     prefix_state& state = prefixes_[*index];
     if (state.number && push.number <= *state.number) {
-        return push_verdict::ignore;
+        return push_action::ignore;
     }
     if (!push.is_snapshot &&
         (!state.number || push.number != *state.number + 1)) {
-        if (now < state.requested_at + options_.request_gap) {
-            return push_verdict::ignore;
+        if (now < state.requested_at + options_.request_interval) {
+            return push_action::ignore;
         }
         state.requested_at = now;
-        return push_verdict::request;
+        return push_action::request_snapshot;
     }
     state.number = push.number;
-    return push_verdict::take;
+    return push_action::apply;
 }
 
 bool feed_follower::is_following(steady_time now) const {
--- a/servers/feed/feed_message.hpp
+++ b/servers/feed/feed_message.hpp
@@ -11,7 +11,7 @@
 
 namespace savorydock {
 
-/// One changed key as instances pass it on.
+/// One changed key of the store in a feed message.
 struct feed_change {
     std::string key;
     std::string value;
@@ -22,14 +22,15 @@
 BOOST_DESCRIBE_STRUCT(feed_change, (),
                       (key, value, created, modified, is_removed))
 
-/// Changes under one prefix, from the feeder of a zone to its followers.
+/// Changes under one key prefix, sent by the feeder of a zone to its followers.
 struct feed_push {
     std::string prefix;
-    /// The feeder's term: numbers of different terms don't compare.
+    /// The feeder's term; numbers of different terms can't be compared.
     store_revision term = 0;
-    /// Counts the pushes of a prefix in a term.
+    /// Sequence number of the push within its prefix and term.
     std::uint64_t number = 0;
-    /// The whole prefix; otherwise what changed since the push before.
+    /// `changes` holds all keys of the prefix; otherwise only the changes since
+    /// the previous push.
     bool is_snapshot = false;
     store_revision revision = 0;
     std::vector<feed_change> changes;
@@ -37,17 +38,17 @@
 BOOST_DESCRIBE_STRUCT(feed_push, (),
                       (prefix, term, number, is_snapshot, revision, changes))
 
-/// The feeder lives and has just heard of the store.
-struct feed_beat {
+/// Reports that the feeder is running, and when it last reached the store.
+struct feed_heartbeat {
     store_revision term = 0;
-    /// Age of the feeder's last contact with the store.
+    /// Time since the feeder's last contact with the store.
     std::chrono::milliseconds age{0};
-    /// Numbers of the last pushes, in the order of the prefixes.
+    /// Number of the last push of each prefix, in the order of the prefixes.
     std::vector<std::uint64_t> numbers;
 };
-BOOST_DESCRIBE_STRUCT(feed_beat, (), (term, age, numbers))
+BOOST_DESCRIBE_STRUCT(feed_heartbeat, (), (term, age, numbers))
 
-/// A follower has missed a push and wants the whole prefix.
+/// Requests a snapshot of a prefix; sent by a follower that missed a push.
 struct feed_request {
     std::string prefix;
 };
--- a/servers/feed/key_copy.cpp
+++ b/servers/feed/key_copy.cpp
@@ -26,13 +26,13 @@
         at = values_.erase(at);
     }
     revision_ = std::max(revision_, revision);
-    is_filled_ = true;
+    has_snapshot_ = true;
     return changes;
 }
 
 std::vector<store_change> key_copy::merge(std::vector<store_change> changes,
                                           store_revision revision) {
-    std::vector<store_change> fresh;
+    std::vector<store_change> applied;
     for (store_change& change : changes) {
         const auto known = values_.find(change.value.key);
         const bool is_known = known != values_.end();
@@ -47,10 +47,10 @@
         } else {
             values_[change.value.key] = change.value;
         }
-        fresh.push_back(std::move(change));
+        applied.push_back(std::move(change));
     }
     revision_ = std::max(revision_, revision);
-    return fresh;
+    return applied;
 }
 
 } // namespace savorydock
--- a/servers/feed/key_copy.hpp
+++ b/servers/feed/key_copy.hpp
@@ -8,32 +8,33 @@
 
 namespace savorydock {
 
-/// A copy of the keys under one prefix of the store. It only moves forward:
-/// whatever the source, a key never goes back to an older revision. Not thread
-/// safe; deterministic.
+/// A copy of the keys under one prefix of the store. A key never goes back to
+/// an older revision, whatever the source of an update. Not thread safe;
+/// deterministic.
 class key_copy {
 public:
-    /// Takes a whole reading made at `revision`. Returns what it changes.
+    /// Applies a snapshot of the whole prefix, read at `revision`. Returns the
+    /// changes to the copy.
     std::vector<store_change> replace(std::vector<stored_value> values,
                                       store_revision revision);
 
-    /// Takes changes in the order of the store, up to `revision`. Returns
-    /// those that were new.
+    /// Applies changes up to `revision`, in the order of the store. Returns
+    /// those that were not in the copy yet.
     std::vector<store_change> merge(std::vector<store_change> changes,
                                     store_revision revision);
 
     [[nodiscard]] const std::map<std::string, stored_value>& values() const {
         return values_;
     }
-    /// The revision up to which all changes are in the copy.
+    /// The copy includes all changes up to this revision.
     [[nodiscard]] store_revision revision() const { return revision_; }
-    /// Whether there was a whole reading.
-    [[nodiscard]] bool is_filled() const { return is_filled_; }
+    /// Whether a snapshot was applied.
+    [[nodiscard]] bool has_snapshot() const { return has_snapshot_; }
 
 private:
     std::map<std::string, stored_value> values_;
     store_revision revision_ = 0;
-    bool is_filled_ = false;
+    bool has_snapshot_ = false;
 };
 
 } // namespace savorydock
--- a/servers/feed/node_directory.cpp
+++ b/servers/feed/node_directory.cpp
@@ -21,7 +21,7 @@
 outcome<node_entry> decode_node_entry(std::string_view key,
                                       std::string_view text) {
     const failure invalid{result_code::invalid_document,
-                          "not an entry of an instance"};
+                          "not a valid instance entry"};
     if (!key.starts_with(node_prefix)) {
         return invalid;
     }
--- a/servers/feed/node_directory.hpp
+++ b/servers/feed/node_directory.hpp
@@ -11,19 +11,20 @@
 
 namespace savorydock {
 
-/// An instance as it registered itself in the store.
+/// The entry with which an instance is registered in the store.
 struct node_entry {
     instance_id instance;
     availability_zone zone;
-    /// Where it takes messages of other instances.
+    /// Address for messages from other instances.
     endpoint address;
-    /// Share of a processor core that its machine grants.
+    /// Share of a processor core that is available to the instance.
     double processor_share = 1.0;
-    /// It finishes the runs that it has and takes no new ones.
+    /// It finishes its current runs and accepts no new ones.
     bool is_leaving = false;
 };
 
-/// The prefix of the instances' keys; each vanishes with its lease.
+/// The prefix of the keys of instances. Each key is removed when its lease
+/// expires.
 inline constexpr std::string_view node_prefix = "c/node/";
 
 /// All functions are thread safe.
@@ -33,7 +34,7 @@
 [[nodiscard]] outcome<node_entry> decode_node_entry(std::string_view key,
                                                     std::string_view text);
 
-/// The instances that are registered now.
+/// The instances that are currently registered.
 using node_directory = std::map<instance_id, node_entry>;
 
 } // namespace savorydock
--- a/servers/feed/relay_message.hpp
+++ b/servers/feed/relay_message.hpp
@@ -7,9 +7,10 @@
 
 namespace savorydock {
 
-/// A call to the platform's store that another instance shall make.
+/// A call to the platform's store that another instance makes on behalf of the
+/// sender.
 struct relayed_call {
-    /// Tells the answer's call from others of the same instance.
+    /// Identifies the call among those of the sender, to match the answer.
     std::uint64_t number = 0;
     std::string method;
     std::string target;
@@ -19,12 +20,12 @@
 BOOST_DESCRIBE_STRUCT(relayed_call, (),
                       (number, method, target, content_type, body))
 
-/// What became of it.
+/// The answer to a `relayed_call`.
 struct relayed_answer {
     std::uint64_t number = 0;
-    /// False: the store didn't answer this instance either.
+    /// False if the store did not answer the relaying instance either.
     bool is_answered = false;
-    /// Without an answer: the call may take effect all the same.
+    /// If there was no answer: the call may still take effect.
     bool may_take_effect = false;
     std::uint32_t status = 0;
     std::string content_type;
--- a/tests/servers/feed/feed_test.cpp
+++ b/tests/servers/feed/feed_test.cpp
@@ -27,11 +27,11 @@
     }
 
     void follow(std::uint64_t number = 1) {
-        static_cast<void>(follower.on_beat(
+        static_cast<void>(follower.on_heartbeat(
             feeder, {.term = 5, .numbers = {number, number}}, now));
         for (const char* const prefix : {"a/", "b/"}) {
             EXPECT_EQ(follower.on_push(feeder, push(prefix, number, true), now),
-                      push_verdict::take);
+                      push_action::apply);
         }
     }
 
@@ -44,19 +44,20 @@
 
 TEST_F(feed_follower_test, complete_copies_of_a_fresh_feeder_are_followed) {
     EXPECT_FALSE(follower.is_following(now));
-    const auto wanted = follower.on_beat(
+    const auto requested = follower.on_heartbeat(
         feeder, {.term = 5, .age = 100ms, .numbers = {1, 1}}, now);
-    EXPECT_EQ(wanted, (std::vector<std::string>{"a/", "b/"}));
+    EXPECT_EQ(requested, (std::vector<std::string>{"a/", "b/"}));
     EXPECT_FALSE(follower.is_following(now));
     follow();
     EXPECT_TRUE(follower.is_following(now));
 }
 
-TEST_F(feed_follower_test, feeder_without_contact_to_the_store_is_left) {
+TEST_F(feed_follower_test,
+       feeder_without_contact_to_the_store_is_not_followed) {
     follow();
-    // It lives and beats, but its last contact grows old.
+    // It still sends heartbeats, but its last contact with the store gets old.
     now += 1s;
-    static_cast<void>(follower.on_beat(
+    static_cast<void>(follower.on_heartbeat(
         feeder, {.term = 5, .age = 1s, .numbers = {1, 1}}, now));
     now += 500ms;
     EXPECT_FALSE(follower.is_following(now));
@@ -66,42 +67,43 @@
     follow();
     now += 300ms;
     EXPECT_EQ(follower.on_push(feeder, push("a/", 3, false), now),
-              push_verdict::request);
+              push_action::request_snapshot);
     EXPECT_EQ(follower.on_push(feeder, push("a/", 2, false), now),
-              push_verdict::take);
+              push_action::apply);
     EXPECT_EQ(follower.on_push(feeder, push("a/", 2, false), now),
-              push_verdict::ignore);
+              push_action::ignore);
 }
 
-TEST_F(feed_follower_test, push_lost_before_a_beat_is_requested) {
+TEST_F(feed_follower_test, push_lost_before_a_heartbeat_is_requested) {
     follow();
     now += 300ms;
-    const auto wanted =
-        follower.on_beat(feeder, {.term = 5, .numbers = {2, 1}}, now);
-    EXPECT_EQ(wanted, (std::vector<std::string>{"a/"}));
+    const auto requested =
+        follower.on_heartbeat(feeder, {.term = 5, .numbers = {2, 1}}, now);
+    EXPECT_EQ(requested, (std::vector<std::string>{"a/"}));
 }
 
-// A feeder that lost its term and got the same one back began to count anew,
-// and followers ignored its pushes (CONFIG on ndiaye-curage trouble-1).
-TEST_F(feed_follower_test, numbers_of_a_term_that_came_back_must_go_on) {
+// Guards against a feeder that loses its term, regains the same one and
+// restarts its numbering: followers would ignore its pushes, and changes of
+// configuration would take effect too late.
+TEST_F(feed_follower_test, numbers_of_a_regained_term_must_continue) {
     follow(4);
     EXPECT_EQ(follower.on_push(feeder, push("a/", 1, false), now),
-              push_verdict::ignore);
+              push_action::ignore);
     EXPECT_EQ(follower.on_push(feeder, push("a/", 5, true), now),
-              push_verdict::take);
+              push_action::apply);
 }
 
 TEST_F(feed_follower_test, feeder_of_an_older_term_is_ignored) {
     follow();
     EXPECT_EQ(follower.on_push(instance_id("g"), push("a/", 9, true, 4), now),
-              push_verdict::ignore);
+              push_action::ignore);
     EXPECT_EQ(follower.on_push(instance_id("g"), push("a/", 1, true, 6), now),
-              push_verdict::take);
+              push_action::apply);
     EXPECT_EQ(follower.feeder(), instance_id("g"));
-    EXPECT_FALSE(follower.is_following(now)) << "b/ is not there yet";
+    EXPECT_FALSE(follower.is_following(now)) << "no snapshot of b/ yet";
 }
 
-TEST(key_copy_test, reading_older_than_a_change_takes_nothing_back) {
+TEST(key_copy_test, snapshot_older_than_a_change_reverts_nothing) {
     key_copy copy;
     static_cast<void>(copy.replace({value("k", 3)}, 3));
     EXPECT_EQ(copy.merge({{.value = value("k", 7)}}, 7).size(), 1U);
@@ -109,14 +111,14 @@
     EXPECT_EQ(copy.values().at("k").modified, 7U);
 }
 
-TEST(key_copy_test, key_newer_than_a_reading_stays_though_it_is_missing) {
+TEST(key_copy_test, key_newer_than_a_snapshot_stays_if_missing_there) {
     key_copy copy;
     EXPECT_EQ(copy.merge({{.value = value("n", 9)}}, 9).size(), 1U);
     EXPECT_TRUE(copy.replace({}, 5).empty());
     EXPECT_TRUE(copy.values().contains("n"));
 }
 
-TEST(key_copy_test, missing_key_of_a_reading_is_told_as_removed) {
+TEST(key_copy_test, missing_key_of_a_snapshot_is_reported_as_removed) {
     key_copy copy;
     static_cast<void>(copy.replace({value("k", 3)}, 3));
     const auto changes = copy.replace({}, 8);
