--- a/docs/models/at_most_once.pml
+++ b/docs/models/at_most_once.pml
@@ -1,8 +1,9 @@
-/* At most one run of a non-idempotent call, over two instances, a caller that
- * sends attempts 1..3 anywhere, a platform's store that loses answers, peers
- * whose messages are lost, and instances that die and forget everything.
+/* A non-idempotent call runs at most once. The model has two instances, a
+ * caller that sends attempts 1..3 to any of them, a platform's store whose
+ * answers may be lost, peer messages that may be lost, and instances that crash
+ * and lose their records.
  * Mechanism: servers/delivery/key_ledger and attempt_gate. The right to run is
- * one token; attempt 1 (or the created claim) makes it.
+ * a single token, created by attempt 1 or by the claim in the store.
  *
  * transition: begin grant refuse finish fail hand_over
  * not modelled: adopt note_claim
@@ -17,17 +18,17 @@
 
 #define NODES 2
 #define SENDINGS 3
-#define DROPPED 3 /* claimed under a nonce that nobody knows any more */
+#define DROPPED 3 /* claimed with a nonce that no instance has any more */
 
 mtype = { forgotten, asking, running, not_run, finished, unknown,
           transferred, elsewhere };
 
 mtype state[NODES] = forgotten;
 byte attempt[NODES];
-bool begun[NODES];       /* bytes of the run here were handed to a socket */
-byte asks[NODES];        /* attempt of an ask under way to this node, 0: none */
-bool granted[NODES];     /* a right under way to this node */
-bool wants_claim[NODES]; /* a compare-and-swap of this node is under way */
+bool begun[NODES];       /* bytes of the run here were written to a socket */
+byte asks[NODES];        /* attempt that requests the right here, 0: none */
+bool granted[NODES];     /* a message that grants the right to this node */
+bool wants_claim[NODES]; /* a compare-and-swap of this node is pending */
 byte claim = 0;          /* the store: 0 none, else claimant + 1 */
 byte begun_count = 0;
 byte sent = 0;
@@ -50,26 +51,27 @@
     :: state[n] == not_run && is_numbered -> begin_run(n)
     :: state[n] == not_run && !is_numbered ->
         state[n] = asking; wants_claim[n] = true
-    :: else -> skip /* answered from the record, or in progress */
+    :: else -> skip /* answered from the record, or still in progress */
     fi;
     attempt[n] = sent
 }
 
 inline ask(n) { asks[1 - n] = attempt[n] }
 
-inline hand_over(n) { /* n holds the right, the other one asked for it */
+inline hand_over(n) { /* n has the right, and the other instance requested it */
     if
 #ifdef HAND_OVER_UNNAMED
     :: state[n] == not_run ->
 #else
-    /* An unnumbered ask names the claim that it has read in the store. */
+    /* A request without an attempt number names the claim that it read in the
+       store. */
     :: state[n] == not_run && (is_numbered || claim == n + 1) ->
 #endif
 #ifndef HAND_OVER_TWICE
         state[n] = transferred;
 #endif
 #ifndef KEEP_CLAIM
-        if /* the claim names a nonce that this instance has dropped */
+        if /* the claim has a nonce that this instance has dropped */
         :: claim == n + 1 -> claim = DROPPED
         :: else -> skip
         fi;
@@ -83,7 +85,7 @@
 inline grant(n) {
     if
     :: state[n] == asking -> begin_run(n)
-    :: else -> skip /* the search has ended: the right is lost */
+    :: else -> skip /* the node no longer waits for the right, which is lost */
     fi;
     granted[n] = false
 }
@@ -95,12 +97,12 @@
 #else
     :: is_numbered -> state[n] = elsewhere
 #endif
-    :: !is_numbered -> /* the claim may be ours and still under way */
+    :: !is_numbered -> /* the claim may be this node's and still pending */
         state[n] = not_run
     fi
 }
 
-/* The store decides a claim. Its answer may be lost: then it is read back. */
+/* The store decides a claim. Its answer may be lost; then the key is read. */
 inline decide_claim(n) {
     if
     :: claim == 0 -> claim = n + 1
@@ -138,8 +140,8 @@
     assert(begun_count == 0)
 }
 
-/* Death: the records are gone; what was under way to it is lost. A claim by
- * the dead has a nonce that its next life does not know. */
+/* A crash: the records and the messages to the instance are lost. Its claim has
+ * a nonce that the instance does not know after its restart. */
 inline die(n) {
     state[n] = forgotten; begun[n] = false; attempt[n] = 0;
     asks[n] = 0; granted[n] = false; wants_claim[n] = false;
@@ -154,11 +156,11 @@
     :: atomic { sent < SENDINGS -> begin(n) }
     :: atomic { state[n] == asking && is_numbered -> ask(n) }
     :: atomic { asks[n] != 0 -> hand_over(n) }
-    :: atomic { asks[n] != 0 -> asks[n] = 0 }       /* the ask is lost */
+    :: atomic { asks[n] != 0 -> asks[n] = 0 }       /* the request is lost */
     :: atomic { granted[n] -> grant(n) }
-    :: atomic { granted[n] -> granted[n] = false }  /* the right is lost */
+    :: atomic { granted[n] -> granted[n] = false }  /* the grant is lost */
     :: atomic { state[n] == asking -> refuse(n) }   /* timeout */
-    :: atomic { wants_claim[n] -> decide_claim(n) } /* perhaps late */
+    :: atomic { wants_claim[n] -> decide_claim(n) } /* possibly late */
     :: atomic { wants_claim[n] -> learn_claim(n) }
     :: atomic { state[n] == running && !begun[n] -> hand_bytes(n) }
     :: atomic { state[n] == running && begun[n] -> finish(n) }
--- a/docs/models/configuration_spread.pml
+++ b/docs/models/configuration_spread.pml
@@ -1,12 +1,14 @@
 /*
- * Spreading the revisions of one service. A watcher reads the store; a
- * follower only hears of revisions from peers, doubled, out of order and
- * stale, and restarts beside a peer that keeps its claim but may have no
- * documents. No instance ever serves an older revision than it has served.
+ * Distribution of the revisions of one service. A watcher reads the store. A
+ * follower receives revisions from peers only, possibly duplicated, reordered
+ * and stale. It restarts next to a peer that has recorded its claim but may
+ * have no documents. No instance ever serves an older revision than it has
+ * served before.
  *
- * The names are those of the code: apply (configuration_table), claim and
- * floor (cold_start). Outside the model: a restart before the claim reached
- * any peer that answers at the next start; see docs/design/configuration.md.
+ * The names are those of the code: apply (configuration_table), claim
+ * (configuration_gossip) and floor (cold_start). Not in the model: a restart
+ * before the claim has reached any peer that answers at the next start; see
+ * docs/design/configuration.md.
  */
 
 // mutation: APPLY_ANY
@@ -17,13 +19,14 @@
 
 byte revision = 1;
 
-/* Revisions that some instance has passed on, and may arrive at any time. */
+/* Revisions that some instance has sent to peers; each may arrive at any time,
+   any number of times. */
 bool passed_on[LAST_REVISION + 1];
 
-/* The follower serves. */
+/* The follower has finished its cold start. */
 bool is_serving;
 
-/* Publishes that took effect; docs/models/publish_race.pml tells how. */
+/* Publishes that took effect; docs/models/publish_race.pml models how. */
 proctype store() {
     do
     :: revision < LAST_REVISION -> revision++
@@ -42,7 +45,8 @@
 #endif
 }
 
-/* Reads the store; other instances' deltas arrive between read and answer. */
+/* Reads the store; deltas of other instances may arrive between a read and its
+   answer. */
 proctype watcher() {
     byte held;
     byte highest;
@@ -69,11 +73,12 @@
     od
 }
 
-/* Hears of revisions from peers only, and restarts while the store is out. */
+/* Receives revisions from peers only, and restarts while the store is
+   unreachable. */
 proctype follower() {
     byte held;
     byte served;
-    byte claim_kept; /* by the peer that answers at the next start */
+    byte claim_kept; /* recorded by the peer that answers at the next start */
     byte floor;
     byte heard;
     byte restarts;
--- a/docs/models/orders_fencing.pml
+++ b/docs/models/orders_fencing.pml
@@ -2,15 +2,16 @@
  * Orders to one upstream by two holders of its scope.
  *
  * Transition names are those of charts/order_life.json. Time is abstract: a
- * holder's own lease ends before the platform's does, and the waits of a
- * holder (lease time plus longest order, or longest order alone) are the wait
- * until nothing is on its way. Left out: read_failed, refresh, order_failed;
- * each leads to another read-back only. "out" is a holder that holds nothing.
- * That is the assumption on delivery: an order
- * handed to the socket arrives, or is lost, within the bound.
+ * holder's own lease ends before the platform's lease does. The waiting times
+ * of a holder (lease time plus longest order, or longest order alone) are
+ * modelled as a wait until no order is in transit. This relies on an assumption
+ * about delivery: an order written to the socket arrives, or is lost, within
+ * that time. Left out: read_failed, refresh and order_failed, because each only
+ * leads to another read of the upstream's state. A holder in state "out" does
+ * not hold the scope.
  *
  * Safety: an order never takes effect after a newer one.
- * Progress: once faults cease, the upstream reaches the target.
+ * Progress: once faults have stopped, the upstream reaches the target.
  */
 // mutation: NO_WAIT_OUT
 // mutation: NO_LEASE_CHECK
@@ -32,16 +33,17 @@
 byte owner = NOBODY;
 byte revision = 0;
 mtype lease[2] = none;
-/* The not_after of the order decided has not passed. A lease that is granted
-   anew does not make it valid again. */
+/* The not_after time of the current order has not passed. Acquiring the lease
+   again does not make the order valid again. */
 bool is_order_valid[2] = false;
-/* Orders decided and not yet handed to the socket; the thread that does it
-   may be paused on its own. 0 is none. */
+/* Orders that were decided but not written to the socket yet; the thread that
+   writes them may be paused independently of the holder. 0: none. */
 byte outbox_age[2] = 0;
 byte outbox_version[2] = 0;
 byte lapses = 0;
 
-/* The way to the upstream: order age and version; any order of arrival. */
+/* Orders in transit to the upstream (age and version); they may arrive in any
+   sequence. */
 chan way = [2] of { byte, byte };
 byte losses = 0;
 
@@ -55,7 +57,7 @@
 
 byte target = 1;
 
-/* Ends leases. Local ends come before real ones. */
+/* Ends leases: a lease lapses for its holder before the platform removes it. */
 proctype platform() {
 end:
     do
@@ -85,7 +87,7 @@
     byte age; byte wanted;
 end:
     do
-    /* Any order on its way may arrive next. */
+    /* Any order in transit may arrive next. */
     :: atomic { loading_age == 0 && nempty(way) -> way ? age, wanted;
         if
         :: len(way) > 0 -> way ! age, wanted; way ? age, wanted
@@ -123,7 +125,7 @@
 #endif
 #define is_quiet (empty(way) && loading_age == 0)
 
-/* Hands orders to the socket. */
+/* Writes orders to the socket. */
 proctype sender(byte self) {
 end:
     do
@@ -144,10 +146,11 @@
     byte seen = 0;
 end:
     do
-    /* Claim: the answer may be lost, the key says who holds the scope. */
+    /* Claims the scope. The answer may be lost; the key names the holder. */
     :: atomic { state == out && owner == NOBODY && lease[self] == none ->
         lease[self] = valid; owner = self; revision++ }
-    /* A late renewal: the same key, hence the same number, is held again. */
+    /* A late renewal: the holder has the same key again, and therefore the same
+       fencing number. */
     :: atomic { state == out && owner == self && lease[self] == lapsed ->
         lease[self] = valid }
     :: atomic { state == out && owner == self && lease[self] == valid ->
@@ -157,7 +160,7 @@
         :: else
         fi;
         state = settling }
-    /* lease_lost: noticed before anything else is decided. */
+    /* lease_lost: detected before any other decision. */
     :: atomic { state != out && lease[self] != valid ->
         last_fence = fence; state = out; seen = 0 }
 
@@ -185,7 +188,7 @@
         :: else -> seen = version; state = ready
         fi }
 
-    /* order_sent: the decision; the hand-over comes later. */
+    /* order_sent: the decision; the order is written to the socket later. */
     :: atomic { state == ready && lease[self] == valid && seen < target &&
                 outbox_age[self] == 0 ->
         orders++;
@@ -193,14 +196,14 @@
         outbox_version[self] = target;
         is_order_valid[self] = true;
         state = ordered }
-    /* order_unsent: its validity has passed. */
+    /* order_unsent: the order is no longer valid. */
     :: atomic { state == ordered && outbox_age[self] != 0 &&
                 !is_order_valid[self] ->
         state = unread }
-    /* order_done: the answer to the own ticket */
+    /* order_done: the answer to this holder's own order */
     :: atomic { state == ordered && newest_age == AGE(fence, orders) ->
         seen = version; state = ready }
-    /* order_lost; then the state is read back */
+    /* order_lost; then the state is read from the upstream */
     :: atomic { state == ordered && outbox_age[self] == 0 && is_quiet &&
                 newest_age != AGE(fence, orders) ->
         state = unread }
--- a/docs/models/publish_race.pml
+++ b/docs/models/publish_race.pml
@@ -1,12 +1,13 @@
 /*
- * Two operators publish one service by compare-and-swap over a store whose
- * answers may be lost, before or after the effect, and whose lost requests may
- * still take effect later. No publish takes effect twice, an operator who is
- * told "accepted" has had its effect, and one who is told "conflict" has not
+ * Two operators publish one service by compare-and-swap. Calls to the store may
+ * fail before or after their effect, and a request that failed may still take
+ * effect later. No publish takes effect twice. If an operator gets the result
+ * "accepted", the publish took effect; if the result is "conflict", it did not
  * and never will.
  *
- * The labels are the phases of servers/configuration/publish_protocol.hpp,
- * whose test compares the transitions listed here with those the code takes.
+ * The labels are the phases in servers/configuration/publish_protocol.hpp. The
+ * test of that class compares the transitions listed here with those that the
+ * code takes.
  */
 
 // mutation: REPUBLISH_AFTER_LOSS
@@ -25,12 +26,12 @@
 #define MAX_REVISION 6
 #define MAX_LOSSES 3
 
-/* The store: its revision, who wrote each, and requests still under way. */
+/* The store: its revision, the writer of each revision, pending requests. */
 byte revision = 1;
 byte writer[MAX_REVISION + 1];
 byte under_way[OPERATORS + 1];
 
-/* What truly happened and what operators were told. */
+/* How often each publish took effect, and the results that operators got. */
 byte effects[OPERATORS + 1];
 bool told_accepted[OPERATORS + 1];
 bool told_conflict[OPERATORS + 1];
@@ -57,7 +58,7 @@
     if
     :: atomic { expected = revision; goto swapping }
     :: losses < MAX_LOSSES -> losses++; goto reading
-    :: goto finished /* the deadline passed, nothing was written */
+    :: goto finished /* the deadline has passed; nothing was written */
     fi;
 
 swapping:
@@ -87,7 +88,7 @@
     :: atomic { revision == expected -> goto swapping }
     :: atomic { revision != expected -> goto judging }
     :: losses < MAX_LOSSES -> losses++; goto checking
-    :: goto finished /* the deadline passed: told unknown */
+    :: goto finished /* the deadline has passed; the result is unknown */
     fi;
 
 judging:
@@ -116,7 +117,7 @@
     }
 }
 
-/* Requests whose answer was given up take effect late, or never. */
+/* Requests whose answer was lost take effect late or never. */
 proctype network() {
 end:
     do
--- a/docs/models/step_session.pml
+++ b/docs/models/step_session.pml
@@ -1,7 +1,8 @@
-/* One step of two slots, a trainer that connects up to three times, and a
- * session per connection, each on an instance that may die or be paused: the
- * older ones live on beside the newest until they hear of it.
- * Mechanism: servers/delivery/step_session; the trainer holds the truth.
+/* One step of two slots, a trainer that connects up to three times, and one
+ * session per connection, each on an instance that may crash or be paused.
+ * Older sessions continue next to the newest one until they learn of it.
+ * Mechanism: servers/delivery/step_session. The trainer's record of received
+ * samples is authoritative.
  *
  * transition: present run finish discard hand_over
  * transition: end_complete hear_newer_epoch lose_trainer
@@ -30,7 +31,7 @@
 session_record session[EPOCHS];
 
 byte epoch = 0;            /* the trainer's newest connection */
-byte received[SLOTS];      /* samples that the trainer took */
+byte received[SLOTS];      /* samples that the trainer received */
 bool mislabelled = false;
 bool step_done = false;
 byte faults = 0;
@@ -62,7 +63,7 @@
     }
 }
 
-/* The trainer reads a sample off its newest connection only. */
+/* The trainer accepts samples on its newest connection only. */
 inline hand_over(e, s) {
     session[e].given[s]++;
     assert(session[e].given[s] <= 1);
@@ -104,7 +105,8 @@
     :: atomic { session[e].step == open && session[e].slot[1] == running ->
                 session[e].slot[1] = ready;
                 session[e].label_known[1] = true }
-    /* An answer that is cut, crossed, unlabelled or too old. */
+    /* discard: the answer is truncated, belongs to another request, has no
+       weight version, or has one that is too old. */
     :: atomic { session[e].step == open && session[e].slot[0] == running &&
                 faults < MAX_FAULTS ->
                 faults++;
@@ -126,7 +128,7 @@
                 is_through(e, 1) ->
 #endif
                 end_complete(e) }
-    /* hear_newer_epoch: by a peer's message, or a closed connection. */
+    /* hear_newer_epoch: through a peer's message or a closed connection. */
     :: atomic { session[e].step == open && e + 1 < epoch ->
                 session[e].step = superseded }
     :: session[e].step == complete || session[e].step == superseded ||
@@ -134,19 +136,20 @@
     od
 }
 
-/* Each fault costs the trainer its connection: instance death, pause, cut. */
+/* Each fault (crash or pause of the instance, lost connection) makes the
+   trainer connect again. */
 init {
     byte i;
     atomic { connect(); run serve(0) }
     do
     :: atomic { faults < MAX_FAULTS && epoch < EPOCHS && !step_done ->
                 faults++; connect(); run serve(epoch - 1) }
-    /* The instance dies (lose_trainer), and the trainer connects again. */
+    /* The instance crashes (lose_trainer), and the trainer connects again. */
     :: atomic { faults < MAX_FAULTS && epoch < EPOCHS && !step_done ->
                 faults++; session[epoch - 1].step = abandoned;
                 connect(); run serve(epoch - 1) }
     :: step_done -> break
-    /* Fewer faults than the bound: the rest never happen. */
+    /* Fewer faults than MAX_FAULTS: the remaining ones don't happen. */
     :: atomic { faults < MAX_FAULTS -> faults++ }
     od
 }
