--- a/drivers/caller_http/step_runner.cpp
+++ b/drivers/caller_http/step_runner.cpp
@@ -73,7 +73,7 @@
     , knowledge_(
           services.knowledge.at(worker)[request_.service->document->service])
     , schedule_(make_schedule_options(request_, body_), hash_prefixes(body_),
-                knowledge_.lengths, knowledge_.outlook)
+                knowledge_.lengths, knowledge_.forecast)
     , change_(services.contexts.at(worker).get()) {
     for (std::size_t slot = 0; slot < body_.held.size(); ++slot) {
         if (body_.held[slot]) {
@@ -103,7 +103,7 @@
 
 void step_runner::start_runs() {
     const steady_time now = std::chrono::steady_clock::now();
-    knowledge_.outlook.observe(newest_version(), now);
+    knowledge_.forecast.observe(newest_version(), now);
     std::vector<slot_place> deferred;
     while (live_.size() < max_runs && session_.has_room()) {
         const auto start = schedule_.next(now);
@@ -132,7 +132,7 @@
     live->run = run;
     live->key = {.slot = to_place(run.slot), .run = next_key_++};
     live_.emplace(live->key, live);
-    schedule_.begin(live->key, knowledge_.outlook.newest(),
+    schedule_.begin(live->key, knowledge_.forecast.newest(),
                     std::chrono::steady_clock::now());
     asio::co_spawn(change_.get_executor(),
                    shared_from_this()->run_slot(live, std::move(excluded)),
@@ -204,7 +204,7 @@
         drop_others(live.key.slot);
         return;
     }
-    schedule_.lose(live.key);
+    schedule_.remove_run(live.key);
     if (code != result_code::cancelled_by_caller) {
         services_.log.write(log_event::sample_discarded,
                             "slot=" + to_text(live.run.slot) +
@@ -240,7 +240,7 @@
     }
     if (action.kind == straggler_kind::resume_elsewhere) {
         live.must_move = true;
-        schedule_.begin(live.key, knowledge_.outlook.newest(),
+        schedule_.begin(live.key, knowledge_.forecast.newest(),
                         std::chrono::steady_clock::now());
         return;
     }
--- a/drivers/caller_http/traffic_services.hpp
+++ b/drivers/caller_http/traffic_services.hpp
@@ -14,7 +14,7 @@
 #include "servers/limits/rate_limiter.hpp"
 #include "servers/routing/upstream_router.hpp"
 #include "servers/step_schedule/length_estimator.hpp"
-#include "servers/step_schedule/weights_outlook.hpp"
+#include "servers/step_schedule/weights_forecast.hpp"
 
 #include <atomic>
 #include <functional>
@@ -30,7 +30,7 @@
 /// What the steps of one service have taught a traffic thread.
 struct step_knowledge {
     length_estimator lengths;
-    weights_outlook outlook;
+    weights_forecast forecast;
 };
 
 /// What the traffic threads of one instance share. Every member is thread
--- a/servers/step_schedule/length_estimator.cpp
+++ b/servers/step_schedule/length_estimator.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-constexpr double least_smoothing = 1.0 / 16;
+/// Weight of a new sample once many have been added.
+constexpr double min_smoothing = 1.0 / 16;
 
-/// Deviations above the mean that "high" stands for.
+/// `high` is the mean plus this many mean absolute deviations.
 constexpr double high_deviations = 2;
 
-/// Used before anything is known.
-constexpr expected_length unknown_length{.mean = 256, .high = 1024};
+/// Used before the first answer.
+constexpr expected_length default_length{.mean = 256, .high = 1024};
 
 } // namespace
 
 void length_estimator::moving_estimate::add(double value) {
     ++count;
-    const double smoothing = std::max(least_smoothing, 1.0 / count);
+    const double smoothing = std::max(min_smoothing, 1.0 / count);
     const double error = value - mean;
     mean += error * smoothing;
     if (count > 1) {
@@ -41,7 +42,7 @@
     const moving_estimate& best =
         found == by_prefix_.end() ? overall_ : found->second;
     if (best.count == 0) {
-        return unknown_length;
+        return default_length;
     }
     return {.mean = best.mean,
             .high = best.mean + high_deviations * best.deviation};
--- a/servers/step_schedule/length_estimator.hpp
+++ b/servers/step_schedule/length_estimator.hpp
@@ -6,21 +6,23 @@
 
 namespace savorydock {
 
-/// How long an answer is likely to be, in tokens.
+/// Expected length of an answer, in tokens.
 struct expected_length {
     double mean = 0;
-    /// Few answers are longer than this.
+    /// Upper estimate; few answers are longer.
     double high = 0;
 };
 
-/// Learns the lengths of answers by the prompt's prefix. Bounded: when it is
-/// full it forgets all but the overall mean. Not thread safe.
+/// Learns the length of answers by the hash of the prompt's prefix. Bounded:
+/// once `max_prefixes` are known, a new prefix discards all estimates but the
+/// overall one. Not thread safe.
 class length_estimator {
 public:
-    /// Takes the length of a whole answer.
+    /// Adds the length of a complete answer.
     void learn(std::uint64_t prefix_hash, std::uint32_t tokens);
 
-    /// What is known of the prefix, else of all answers.
+    /// Returns the estimate for the prefix, or for all answers if the prefix
+    /// is unknown.
     [[nodiscard]] expected_length expect(std::uint64_t prefix_hash) const;
 
 private:
--- a/tests/bench/trainer_load.cpp
+++ b/tests/bench/trainer_load.cpp
@@ -47,7 +47,7 @@
     , policy_(policy)
     , number_(number)
     , seed_(seed) {
-    outlook_.observe(1, loop.now());
+    forecast_.observe(1, loop.now());
     loop_.every(review_period, [this] { review(); });
 }
 
@@ -82,7 +82,7 @@
         step_schedule_options{.group_size = load_.group_size,
                               .staleness_bound = load_.staleness_bound,
                               .idle_weight = policy_.idle_weight},
-        prefixes_, lengths_, outlook_);
+        prefixes_, lengths_, forecast_);
     pump();
 }
 
@@ -169,7 +169,7 @@
         });
         return;
     }
-    schedule_->lose(run);
+    schedule_->remove_run(run);
     if (end.code == result_code::ok) {
         pump();
     }
@@ -177,7 +177,7 @@
 
 void trainer_load::accept(slot_place slot, const call_end& end) {
     lengths_.learn(prefixes_[slot.group], end.tokens);
-    const weight_version lag = outlook_.newest() - end.oldest_version;
+    const weight_version lag = forecast_.newest() - end.oldest_version;
     if (lag > load_.staleness_bound) {
         ++figures_.discarded_too_old;
         figures_.wasted_tokens += end.tokens;
@@ -222,7 +222,7 @@
             schedule_->progress(run, *tokens, now);
         }
         if (entry_.is_paused(live.ticket)) {
-            schedule_->excuse(run, now);
+            schedule_->exclude_pause(run, now);
         }
     }
     for (const straggler_action& action : schedule_->review(now)) {
@@ -251,7 +251,7 @@
 }
 
 void trainer_load::hear_weights(weight_version newest) {
-    outlook_.observe(newest, loop_.now());
+    forecast_.observe(newest, loop_.now());
 }
 
 void trainer_load::finish_step() {
--- a/tests/bench/trainer_load.hpp
+++ b/tests/bench/trainer_load.hpp
@@ -62,7 +62,7 @@
     std::uint32_t number_;
     std::uint64_t seed_;
     length_estimator lengths_;
-    weights_outlook outlook_;
+    weights_forecast forecast_;
     std::uint64_t step_ = 0;
     std::vector<std::uint64_t> prefixes_;
     std::unique_ptr<step_schedule> schedule_;
--- a/tests/servers/step_schedule/step_schedule_test.cpp
+++ b/tests/servers/step_schedule/step_schedule_test.cpp
@@ -20,9 +20,9 @@
             lengths_.learn(22, 2'400);
             lengths_.learn(33, 500);
         }
-        // A version each 100 s, the newest came just now.
-        outlook_.observe(1, now_ - seconds(100));
-        outlook_.observe(2, now_);
+        // One version every 100 s; the newest has just arrived.
+        forecast_.observe(1, now_ - seconds(100));
+        forecast_.observe(2, now_);
     }
 
     step_schedule make(double idle_weight, std::uint32_t bound = 1) {
@@ -32,10 +32,11 @@
                  .hedge_budget = 0.1},
                 prefixes,
                 lengths_,
-                outlook_};
+                forecast_};
     }
 
-    /// Starts every slot; all bring 30 tokens a second for `time` but one.
+    /// Starts every slot and runs it for `time`. `slow` generates `slow_pace`
+    /// tokens per second, all others 30.
     void run_all(step_schedule& schedule, slot_place slow, double slow_pace,
                  seconds time, weight_version version = 2) {
         while (const auto start = schedule.next(now_)) {
@@ -55,7 +56,7 @@
 
     steady_time now_{seconds(10'000)};
     length_estimator lengths_;
-    weights_outlook outlook_;
+    weights_forecast forecast_;
     std::vector<slot_place> started_;
 };
 
@@ -68,17 +69,18 @@
     EXPECT_EQ(groups, (std::vector<std::uint32_t>{1, 1, 2, 2, 0, 0}));
 }
 
-TEST_F(step_schedule_test, run_that_would_straddle_the_bound_waits_its_turn) {
-    // 2,400 tokens take 80 s at the pace taken for granted; with a bound of 0
-    // they fit only right after new weights.
+TEST_F(step_schedule_test,
+       run_that_would_exceed_staleness_bound_waits_for_weights) {
+    // 2,400 tokens take 80 s at the default pace. With a bound of 0 a run
+    // stays within the bound only if it starts right after new weights.
     now_ += seconds(50);
-    auto careful = make(0, 0);
-    EXPECT_EQ(careful.next(now_)->slot.group, 2U);
-    auto eager = make(1, 0);
-    EXPECT_EQ(eager.next(now_)->slot.group, 1U);
+    auto staleness_first = make(0, 0);
+    EXPECT_EQ(staleness_first.next(now_)->slot.group, 2U);
+    auto idle_time_first = make(1, 0);
+    EXPECT_EQ(idle_time_first.next(now_)->slot.group, 1U);
 }
 
-TEST_F(step_schedule_test, weight_moves_the_oldest_weights_to_start_with) {
+TEST_F(step_schedule_test, idle_weight_sets_minimum_start_version) {
     EXPECT_EQ(make(0, 3).next(now_)->minimum_version, 2U);
     EXPECT_EQ(make(1, 3).next(now_)->minimum_version, 0U);
     EXPECT_EQ(make(0.3, 3).next(now_)->minimum_version, 1U);
@@ -111,26 +113,26 @@
     auto schedule = make(1);
     run_all(schedule, {1, 0}, 30, seconds(4));
     now_ += seconds(6);
-    // A tenth of six slots, rounded up.
+    // The hedge budget is a tenth of six slots, rounded up: one run.
     const auto actions = schedule.review(now_);
     ASSERT_EQ(actions.size(), 1U);
     EXPECT_EQ(actions[0].kind, straggler_kind::hedge);
     EXPECT_TRUE(schedule.review(now_).empty());
     const slot_place slot = actions[0].run.slot;
     schedule.begin({slot, 2}, 2, now_);
-    schedule.lose({slot, 1});
+    schedule.remove_run({slot, 1});
     EXPECT_EQ(schedule.waiting(), 0U);
-    schedule.lose({slot, 2});
+    schedule.remove_run({slot, 2});
     EXPECT_EQ(schedule.waiting(), 1U);
 }
 
-TEST_F(step_schedule_test, silence_of_a_known_swap_is_not_held_against_runs) {
+TEST_F(step_schedule_test, silence_during_known_swap_triggers_no_action) {
     auto schedule = make(1);
     run_all(schedule, {1, 0}, 30, seconds(4));
     for (int second = 0; second < 12; ++second) {
         now_ += seconds(1);
         for (const slot_place slot : started_) {
-            schedule.excuse({slot, 1}, now_);
+            schedule.exclude_pause({slot, 1}, now_);
         }
         EXPECT_TRUE(schedule.review(now_).empty());
     }
@@ -138,28 +140,30 @@
     EXPECT_EQ(schedule.review(now_).size(), 1U);
 }
 
-TEST_F(step_schedule_test, run_past_the_bound_restarts_whatever_the_weight) {
+TEST_F(step_schedule_test,
+       run_past_staleness_bound_restarts_at_any_idle_weight) {
     for (const double weight : {0.0, 1.0}) {
         auto schedule = make(weight);
         started_.clear();
         run_all(schedule, {1, 0}, 30, seconds(4));
         EXPECT_TRUE(schedule.review(now_).empty());
-        weights_outlook later = outlook_;
-        outlook_.observe(4, now_);
+        weights_forecast saved = forecast_;
+        forecast_.observe(4, now_);
         EXPECT_EQ(schedule.review(now_).size(), 6U);
         EXPECT_EQ(schedule.waiting(), 6U);
-        outlook_ = later;
+        forecast_ = saved;
     }
 }
 
-TEST_F(step_schedule_test, forecast_of_too_old_restarts_if_staleness_weighs) {
+TEST_F(step_schedule_test,
+       predicted_staleness_restarts_run_unless_only_idle_time_counts) {
     struct row {
         double weight;
         weight_version version;
         straggler_kind kind;
     };
-    // At 5 tokens a second the 2,400 tokens take 480 s, four versions. A new
-    // run helps only if there are newer weights to run it on.
+    // At 5 tokens per second the 2,400 tokens take 480 s, in which four
+    // versions arrive. A new run helps only if newer weights are available.
     for (const row& expected : {row{0, 1, straggler_kind::restart},
                                 row{1, 1, straggler_kind::resume_elsewhere},
                                 row{0, 2, straggler_kind::resume_elsewhere}}) {
@@ -174,7 +178,8 @@
     }
 }
 
-RC_GTEST_FIXTURE_PROP(step_schedule_test, every_slot_ends_done_once, ()) {
+RC_GTEST_FIXTURE_PROP(step_schedule_test, every_slot_finishes_exactly_once,
+                      ()) {
     auto schedule = make(*rc::gen::element(0.0, 0.5, 1.0));
     std::map<slot_place, std::uint32_t> runs;
     std::vector<run_key> running;
@@ -184,7 +189,7 @@
         now_ += seconds(1);
         if (const auto start = schedule.next(now_)) {
             const run_key run{start->slot, ++runs[start->slot]};
-            schedule.begin(run, outlook_.newest(), now_);
+            schedule.begin(run, forecast_.newest(), now_);
             running.push_back(run);
         }
         for (const auto& action : schedule.review(now_)) {
@@ -196,7 +201,7 @@
                 std::erase(running, action.run);
             }
             const run_key next{action.run.slot, ++runs[action.run.slot]};
-            schedule.begin(next, outlook_.newest(), now_);
+            schedule.begin(next, forecast_.newest(), now_);
             running.push_back(next);
         }
         if (running.empty()) {
@@ -204,11 +209,12 @@
         }
         const auto at = *rc::gen::inRange<std::size_t>(0, running.size());
         const run_key run = running[at];
-        // Luck may lose runs for a while only, so that the step can end.
+        // Runs fail at random only in the first 300 steps, so that the schedule
+        // can finish.
         switch (step < 300 ? *rc::gen::inRange(0, 3) : 2) {
         case 0:
             running.erase(running.begin() + static_cast<std::ptrdiff_t>(at));
-            schedule.lose(run);
+            schedule.remove_run(run);
             break;
         case 1:
             schedule.progress(run, static_cast<std::uint32_t>(step), now_);
