--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -43,9 +43,9 @@
     }
     call_record(const call_record&) = delete;
     call_record& operator=(const call_record&) = delete;
-    ~call_record() { end(call_end::cancelled); }
+    ~call_record() { end(call_outcome::cancelled); }
 
-    void end(call_end how) {
+    void end(call_outcome how) {
         if (has_ended_) {
             return;
         }
@@ -110,7 +110,7 @@
     if (call.route.kind != request_kind::idempotent || attempts_left <= 1) {
         return call.deadline;
     }
-    const auto typical = fleet_.pool.typical_time(upstream.id);
+    const auto typical = fleet_.pool.smoothed_call_time(upstream.id);
     const auto patience =
         call.is_urgent
             ? std::max<std::chrono::microseconds>(
@@ -138,15 +138,15 @@
     auto answer = co_await client_.call(upstream.address, std::move(request),
                                         deadline, use);
     if (!answer) {
-        record.end(call_end::failed);
+        record.end(call_outcome::failed);
         const bool is_open =
             classify(answer.reason().code) != result_class::not_run;
         co_return make_failed(is_open, answer.reason());
     }
     const auto marks_back = platform::decode_answer_marks(answer->headers);
     if (marks_back.is_not_run || answer->status == status_misdirected) {
-        record.end(answer->status == status_misdirected ? call_end::failed
-                                                        : call_end::full);
+        record.end(answer->status == status_misdirected ? call_outcome::failed
+                                                        : call_outcome::full);
         co_return make_failed(
             false, failure{result_code::not_run_refused_by_upstream,
                            "status " + std::to_string(answer->status)});
@@ -156,13 +156,13 @@
                             (marks_back.stamp.empty() ||
                              !answer->header("Content-Encoding").empty());
     if (!is_own || is_spoiled) {
-        record.end(call_end::failed);
+        record.end(call_outcome::failed);
         co_return make_failed(
             true, failure{result_code::failed_by_upstream,
                           is_own ? "a success without the upstream's signature"
                                  : "an answer to another request"});
     }
-    record.end(call_end::answered);
+    record.end(call_outcome::answered);
     attempt_result result{.answer = std::move(*answer), .may_have_run = true};
     co_return result;
 }
--- a/servers/fleet/fleet_configuration.hpp
+++ b/servers/fleet/fleet_configuration.hpp
@@ -10,15 +10,15 @@
 
 namespace savorydock {
 
-/// What may be repeated of a request.
+/// How a request is executed and whether it may be repeated.
 enum class request_kind : std::uint8_t {
     /// May run more than once.
     idempotent,
-    /// Runs at most once for each sending.
+    /// Runs at most once each time the caller sends it.
     at_most_once,
     /// A stream of events; resumable if its route says so.
     stream,
-    /// A batch of items that run later.
+    /// A batch of items that are run asynchronously.
     batch,
     /// A batch of one training step, with groups, versions and scores.
     sample_batch,
@@ -37,25 +37,25 @@
     /// Begins and ends with a slash.
     std::string prefix;
     request_kind kind = request_kind::idempotent;
-    /// The longest time that a caller is kept waiting.
+    /// Maximum time that a caller waits for the response.
     std::chrono::milliseconds timeout{10'000};
-    /// The time within which an answer is worth its full value.
+    /// Response time up to which an answer keeps its full value to the caller.
     std::chrono::milliseconds target_latency{1'000};
-    /// Rank among the routes of a service; 0 goes first.
+    /// Priority among the routes of a service; 0 is the highest.
     std::uint32_t priority = 5;
     std::vector<service_share> services;
-    /// Upstreams that one sending may run on.
+    /// Maximum number of upstreams tried for one request.
     std::uint32_t max_attempts = 1;
     bool is_resumable = false;
-    /// Time from the submission of a batch to its last useful result.
+    /// Target time from the submission of a batch to its last useful result.
     std::chrono::milliseconds batch_target{0};
-    /// Time from the submission after which an item may be given up.
+    /// Time after submission at which an item may be abandoned.
     std::chrono::milliseconds batch_time_to_live{0};
-    /// All events of a sample must come from one version of the weights.
+    /// All events of a sample must come from the same version of the weights.
     bool is_single_version = false;
 };
 
-/// The engine part of a service.
+/// Settings of a service whose upstreams are model engines.
 struct engine_rule {
     std::uint32_t slots = 1;
     std::uint64_t cache_tokens = 0;
@@ -64,15 +64,15 @@
     std::vector<std::string> models;
 };
 
-/// A service that routes lead to.
+/// A service to which routes send requests.
 struct service_rule {
     service_name name;
-    /// Connections that one upstream takes from all instances together.
+    /// Connections that one upstream accepts from all instances together.
     std::uint32_t max_connections = 0;
     std::optional<engine_rule> engine;
 };
 
-/// What callers may send, and how long they may take over it.
+/// Size and time limits for requests of callers.
 struct caller_bounds {
     std::uint32_t max_header_bytes = 16'384;
     std::uint32_t max_body_bytes = 33'554'432;
@@ -83,7 +83,7 @@
 /// One version of the operators' configuration. Immutable once published.
 struct fleet_configuration {
     std::uint64_t version = 0;
-    /// The store's revision that carries it.
+    /// Revision of the store at which this version was written.
     store_revision revision = 0;
     std::vector<route_rule> routes;
     std::vector<service_rule> services;
--- a/servers/fleet/fleet_state.hpp
+++ b/servers/fleet/fleet_state.hpp
@@ -8,10 +8,10 @@
 
 namespace savorydock {
 
-/// What an instance believes of the fleet. Belongs to one traffic thread; the
-/// route table itself is immutable and may be shared.
+/// An instance's view of the fleet. Used by one traffic thread only; the route
+/// table is immutable and may be shared between threads.
 struct fleet_state {
-    /// Null until the first configuration is known.
+    /// Null until the first configuration has been received.
     std::shared_ptr<const route_table> routes;
     std::vector<upstream_entry> upstreams;
     upstream_pool pool;
--- a/servers/fleet/route_table.cpp
+++ b/servers/fleet/route_table.cpp
@@ -25,9 +25,9 @@
     if (routes == by_host_.end()) {
         return nullptr;
     }
-    const std::string_view bare = path.substr(0, path.find('?'));
+    const std::string_view path_without_query = path.substr(0, path.find('?'));
     for (const route_rule* const route : routes->second) {
-        if (bare.starts_with(route->prefix)) {
+        if (path_without_query.starts_with(route->prefix)) {
             return route;
         }
     }
--- a/servers/fleet/route_table.hpp
+++ b/servers/fleet/route_table.hpp
@@ -10,20 +10,20 @@
 
 namespace savorydock {
 
-/// Finds the route of a request: by host, then by the longest prefix of its
-/// path. Immutable after construction, hence thread safe.
+/// Finds the route of a request by its host, then by the longest matching path
+/// prefix. Immutable after construction and therefore thread safe.
 class route_table {
 public:
     /// Precondition: `configuration` is not null.
     explicit route_table(
         std::shared_ptr<const fleet_configuration> configuration);
 
-    /// Returns the route, or null if the configuration has none. A port in
-    /// `host` is ignored, as is a query in `path`.
+    /// Returns the matching route, or null if there is none. Ignores a port in
+    /// `host` and a query in `path`.
     [[nodiscard]] const route_rule* find(std::string_view host,
                                          std::string_view path) const;
 
-    /// Returns the service's rule, or null.
+    /// Returns the service's rule, or null if the service is not configured.
     [[nodiscard]] const service_rule*
     find_service(const service_name& name) const;
 
@@ -33,7 +33,7 @@
 
 private:
     std::shared_ptr<const fleet_configuration> configuration_;
-    /// Routes of a host, the longest prefix first.
+    /// Routes by host, sorted by descending length of their prefix.
     std::unordered_map<std::string, std::vector<const route_rule*>> by_host_;
 };
 
--- a/servers/fleet/upstream_entry.hpp
+++ b/servers/fleet/upstream_entry.hpp
@@ -10,18 +10,18 @@
 
 namespace savorydock {
 
-/// One upstream as it registered itself in the platform's store.
+/// An upstream's registration in the platform's store.
 struct upstream_entry {
     upstream_id id;
     service_name service;
     endpoint address;
     availability_zone zone;
     std::uint32_t slots = 1;
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its current requests and accepts no new ones.
     bool is_draining = false;
-    /// Start of this incarnation, in Unix milliseconds; 0 if it doesn't say.
+    /// Start time of its process in Unix milliseconds; 0 if not stated.
     std::uint64_t started_at = 0;
-    /// Versions of the weights it holds, by model.
+    /// Version of the weights that it has loaded, by model.
     std::map<std::string, weight_version> versions;
 
     bool operator==(const upstream_entry&) const = default;
--- a/servers/fleet/upstream_pool.cpp
+++ b/servers/fleet/upstream_pool.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Weight of a new sample in the smoothed time of a call.
+/// Weight of a new sample in the smoothed call time.
 constexpr double time_smoothing = 0.2;
-/// Pauses stop doubling after so many failures in a row.
+/// The backoff stops doubling after this many consecutive failures.
 constexpr std::uint32_t max_doublings = 5;
 
 } // namespace
@@ -23,8 +23,8 @@
         listed.insert(entry.id);
         state& known = upstreams_[entry.id];
         if (known.entry.started_at != entry.started_at) {
-            known.failures_in_row = 0;
-            known.not_before = {};
+            known.consecutive_failures = 0;
+            known.backoff_until = {};
         }
         known.entry = entry;
     }
@@ -34,17 +34,19 @@
 
 double upstream_pool::cost_of(const state& candidate) const {
     const double time =
-        candidate.microseconds > 0
-            ? candidate.microseconds
+        candidate.smoothed_microseconds > 0
+            ? candidate.smoothed_microseconds
             : static_cast<double>(
-                  std::chrono::microseconds(options_.assumed_time).count());
+                  std::chrono::microseconds(options_.default_call_time)
+                      .count());
     const double queue = static_cast<double>(candidate.in_progress) /
                          static_cast<double>(candidate.entry.slots);
-    const double hop = candidate.entry.zone == options_.zone
-                           ? 0
-                           : static_cast<double>(options_.zone_cost.count());
-    // Calls in progress matter before all slots are taken, because the calls
-    // of other instances are not seen.
+    const double hop =
+        candidate.entry.zone == options_.zone
+            ? 0
+            : static_cast<double>(options_.cross_zone_cost.count());
+    // Calls in progress raise the cost even while slots are free, because the
+    // calls of other instances are not known here.
     return time * (1 + queue) + hop;
 }
 
@@ -59,9 +61,9 @@
             tried.contains(id)) {
             continue;
         }
-        if (candidate.not_before > now) {
+        if (candidate.backoff_until > now) {
             if (soonest == nullptr ||
-                candidate.not_before < soonest->not_before) {
+                candidate.backoff_until < soonest->backoff_until) {
                 soonest = &candidate;
             }
             continue;
@@ -81,7 +83,7 @@
     }
 }
 
-void upstream_pool::on_ended(const upstream_id& upstream, call_end end,
+void upstream_pool::on_ended(const upstream_id& upstream, call_outcome end,
                              std::chrono::microseconds time, steady_time now) {
     const auto found = upstreams_.find(upstream);
     if (found == upstreams_.end()) {
@@ -90,40 +92,40 @@
     state& known = found->second;
     known.in_progress -= known.in_progress > 0 ? 1 : 0;
     switch (end) {
-    case call_end::answered: {
+    case call_outcome::answered: {
         const auto sample = static_cast<double>(time.count());
-        known.failures_in_row = 0;
-        known.microseconds =
-            known.microseconds == 0
+        known.consecutive_failures = 0;
+        known.smoothed_microseconds =
+            known.smoothed_microseconds == 0
                 ? sample
-                : known.microseconds +
-                      time_smoothing * (sample - known.microseconds);
+                : known.smoothed_microseconds +
+                      time_smoothing * (sample - known.smoothed_microseconds);
         break;
     }
-    case call_end::full:
-        known.not_before = now + options_.full_pause;
+    case call_outcome::full:
+        known.backoff_until = now + options_.full_backoff;
         break;
-    case call_end::failed: {
-        const auto factor = 1U
-                            << std::min(known.failures_in_row, max_doublings);
-        ++known.failures_in_row;
-        known.not_before = now + std::min(options_.first_pause * factor,
-                                          options_.longest_pause);
+    case call_outcome::failed: {
+        const auto factor =
+            1U << std::min(known.consecutive_failures, max_doublings);
+        ++known.consecutive_failures;
+        known.backoff_until = now + std::min(options_.initial_backoff * factor,
+                                             options_.max_backoff);
         break;
     }
-    case call_end::cancelled:
+    case call_outcome::cancelled:
         break;
     }
 }
 
 std::chrono::microseconds
-upstream_pool::typical_time(const upstream_id& upstream) const {
+upstream_pool::smoothed_call_time(const upstream_id& upstream) const {
     const auto found = upstreams_.find(upstream);
-    if (found == upstreams_.end() || found->second.microseconds == 0) {
-        return options_.assumed_time;
+    if (found == upstreams_.end() || found->second.smoothed_microseconds == 0) {
+        return options_.default_call_time;
     }
     return std::chrono::microseconds(
-        static_cast<std::int64_t>(found->second.microseconds));
+        static_cast<std::int64_t>(found->second.smoothed_microseconds));
 }
 
 std::size_t upstream_pool::slots_of(const service_name& service) const {
--- a/servers/fleet/upstream_pool.hpp
+++ b/servers/fleet/upstream_pool.hpp
@@ -14,42 +14,46 @@
 namespace savorydock {
 
 struct upstream_pool_options {
-    /// The zone of the instance that sends.
+    /// Availability zone of this instance, which sends the calls.
     availability_zone zone;
-    /// What a hop to another zone and back adds, for the comparison with an
-    /// upstream's own time; a few round trips of today's sites.
-    std::chrono::microseconds zone_cost{3'000};
-    /// How long an upstream that failed gets nothing while others serve;
-    /// doubled with each further failure in a row, up to the second figure.
-    std::chrono::milliseconds first_pause{300};
-    std::chrono::milliseconds longest_pause{5'000};
-    /// Pause of an upstream that was full: about one call's time.
-    std::chrono::milliseconds full_pause{60};
-    /// Time that is assumed for a call before any was measured.
-    std::chrono::milliseconds assumed_time{50};
+    /// Added to the expected time of a call to an upstream in another zone;
+    /// corresponds to a few round trips between zones.
+    std::chrono::microseconds cross_zone_cost{3'000};
+    /// How long a failed upstream gets no calls while others are available.
+    /// Doubled with each consecutive failure, up to `max_backoff`.
+    std::chrono::milliseconds initial_backoff{300};
+    std::chrono::milliseconds max_backoff{5'000};
+    /// Backoff of an upstream that was full; about the duration of a call.
+    std::chrono::milliseconds full_backoff{60};
+    /// Expected duration of a call until one has been measured.
+    std::chrono::milliseconds default_call_time{50};
 };
 
-/// How a call ended, as far as it tells about its upstream.
-enum class call_end : std::uint8_t {
+/// How a call ended, as far as it is relevant to its upstream's health.
+enum class call_outcome : std::uint8_t {
     answered,
-    /// It stated that it didn't run the call.
+    /// The upstream reported that it did not run the call.
     full,
-    /// It broke off, was silent or sent what is no answer.
+    /// The connection broke, the call timed out or the response was invalid.
     failed,
-    /// The caller left; says nothing about the upstream.
+    /// The caller disconnected; says nothing about the upstream.
     cancelled,
 };
 
-/// Chooses upstreams for single calls of all services.
+/// Chooses an upstream for each call, for all services.
 ///
-/// Load pattern: short calls of booth consoles beside bursts of scoring calls
-/// on a few upstreams of unequal speed, sent by several instances that know
-/// only their own calls. The expected time decides: own calls in progress
-/// times the measured time, which makes an upstream that turned slow or is
-/// flooded by others lose calls at once, and a hop to another zone is taken
-/// only if it saves more than it costs. Failures set an upstream aside for a
-/// growing time; if all are set aside, the one that returns first is taken, so
-/// that a cut of the network never refuses what could be served.
+/// Load pattern: short interactive calls alongside bursts of scoring calls, on
+/// a few upstreams of different speed. Several instances send calls, and each
+/// knows only its own.
+///
+/// The upstream with the shortest expected time is chosen. This time is
+/// estimated from the measured call time and this instance's calls in
+/// progress, so an upstream that becomes slow or is loaded by other instances
+/// gets fewer calls at once. An upstream in another zone is chosen only if it
+/// saves more than `cross_zone_cost`. Failures put an upstream into backoff for
+/// an increasing time. If all upstreams are in backoff, the one whose backoff
+/// ends first is chosen, so that a network partition does not reject calls
+/// that could be served.
 ///
 /// Not thread safe; deterministic.
 class upstream_pool {
@@ -58,30 +62,30 @@
 
     void set_upstreams(const std::vector<upstream_entry>& upstreams);
 
-    /// Returns the best upstream of the service that is not in `tried`, or
-    /// nothing. A draining upstream is never chosen.
+    /// Returns the upstream of the service with the shortest expected time
+    /// that is neither in `tried` nor draining, or nothing if there is none.
     [[nodiscard]] std::optional<upstream_entry>
     choose(const service_name& service, const std::set<upstream_id>& tried,
            steady_time now) const;
 
     void on_started(const upstream_id& upstream);
-    void on_ended(const upstream_id& upstream, call_end end,
+    void on_ended(const upstream_id& upstream, call_outcome end,
                   std::chrono::microseconds time, steady_time now);
 
-    /// The smoothed time of a call at the upstream.
+    /// Exponentially smoothed duration of calls to the upstream.
     [[nodiscard]] std::chrono::microseconds
-    typical_time(const upstream_id& upstream) const;
+    smoothed_call_time(const upstream_id& upstream) const;
 
-    /// Slots of all upstreams of the service that take work.
+    /// Total slots of the service's upstreams that are not draining.
     [[nodiscard]] std::size_t slots_of(const service_name& service) const;
 
 private:
     struct state {
         upstream_entry entry;
         std::uint32_t in_progress = 0;
-        std::uint32_t failures_in_row = 0;
-        steady_time not_before{};
-        double microseconds = 0;
+        std::uint32_t consecutive_failures = 0;
+        steady_time backoff_until{};
+        double smoothed_microseconds = 0;
     };
 
     [[nodiscard]] double cost_of(const state& candidate) const;
--- a/tests/servers/fleet/fleet_test.cpp
+++ b/tests/servers/fleet/fleet_test.cpp
@@ -28,7 +28,7 @@
 
     void answer(const std::string& id, std::chrono::microseconds time) {
         pool.on_started(upstream_id(id));
-        pool.on_ended(upstream_id(id), call_end::answered, time, now);
+        pool.on_ended(upstream_id(id), call_outcome::answered, time, now);
     }
 
     service_name service{"desk"};
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_F(upstream_pool_test, calm_calls_stay_in_their_zone) {
+TEST_F(upstream_pool_test, calls_under_low_load_stay_in_own_zone) {
     EXPECT_EQ(choose(), "a");
 }
 
@@ -53,7 +53,7 @@
     EXPECT_EQ(used.size(), 3U);
 }
 
-TEST_F(upstream_pool_test, upstream_that_turned_slow_loses_calls) {
+TEST_F(upstream_pool_test, upstream_that_becomes_slow_is_not_chosen) {
     for (int call = 0; call < 20; ++call) {
         answer("a", 200ms);
         answer("b", 30ms);
@@ -62,10 +62,10 @@
     EXPECT_NE(choose(), "a");
 }
 
-TEST_F(upstream_pool_test, failures_set_aside_for_a_growing_time) {
+TEST_F(upstream_pool_test, consecutive_failures_increase_backoff) {
     for (int failure = 0; failure < 3; ++failure) {
         pool.on_started(upstream_id("a"));
-        pool.on_ended(upstream_id("a"), call_end::failed, 1ms, now);
+        pool.on_ended(upstream_id("a"), call_outcome::failed, 1ms, now);
     }
     EXPECT_NE(choose(), "a");
     now += 1s;
@@ -74,10 +74,10 @@
     EXPECT_EQ(choose(), "a");
 }
 
-TEST_F(upstream_pool_test, all_set_aside_still_serves) {
+TEST_F(upstream_pool_test, all_upstreams_in_backoff_one_is_still_chosen) {
     for (const upstream_entry& entry : entries) {
         pool.on_started(entry.id);
-        pool.on_ended(entry.id, call_end::failed, 1ms, now);
+        pool.on_ended(entry.id, call_outcome::failed, 1ms, now);
     }
     EXPECT_NE(choose(), "");
 }
@@ -90,9 +90,9 @@
     EXPECT_EQ(pool.slots_of(service), 12U);
 }
 
-TEST_F(upstream_pool_test, restarted_upstream_begins_without_failures) {
+TEST_F(upstream_pool_test, restarted_upstream_has_no_backoff) {
     pool.on_started(upstream_id("a"));
-    pool.on_ended(upstream_id("a"), call_end::failed, 1ms, now);
+    pool.on_ended(upstream_id("a"), call_outcome::failed, 1ms, now);
     entries[0].started_at = 5;
     pool.set_upstreams(entries);
     EXPECT_EQ(choose(), "a");
