--- a/servers/membership/failure_detector.cpp
+++ b/servers/membership/failure_detector.cpp
@@ -24,23 +24,23 @@
     }
     if (probe_ && !probe_->is_acked && !probe_->is_indirect &&
         now - probe_->sent_at >= options_.ack_timeout) {
-        ask_others(out);
+        request_indirect_probes(out);
     }
     if (now >= next_probe_at_) {
         finish_probe(now, changed);
-        end_suspicions(now, changed);
+        expire_suspicions(now, changed);
         start_probe(now, out);
         next_probe_at_ += options_.probe_period;
-        // After a pause of this process missed probes are not made up for.
+        // Probes missed while this process was suspended are skipped.
         next_probe_at_ = std::max(next_probe_at_, now);
     }
     if (now >= next_dead_probe_at_) {
-        try_dead(now, out);
+        probe_dead_member(now, out);
     }
     return changed;
 }
 
-void failure_detector::ask_others(std::vector<probe_action>& out) {
+void failure_detector::request_indirect_probes(std::vector<probe_action>& out) {
     probe_->is_indirect = true;
     for (std::uint32_t i = 0; i < options_.indirect_probes; ++i) {
         const auto helper = pick_living();
@@ -56,7 +56,8 @@
     if (!probe_ || probe_->is_acked) {
         return;
     }
-    // A pause of this process is no sign that others failed.
+    // If this process was suspended, a missing ack is no evidence against
+    // the target.
     const bool was_paused = now - probe_->sent_at > 3 * options_.probe_period;
     if (!was_paused &&
         table_.set_condition(probe_->target, member_condition::suspect, now)) {
@@ -67,12 +68,16 @@
 void failure_detector::start_probe(steady_time now,
                                    std::vector<probe_action>& out) {
     probe_.reset();
-    const bool is_home = random_.below(100) < options_.home_percent;
-    auto target = is_home ? next_of_round(home_round_, table_.living_home())
-                          : next_of_round(away_round_, table_.living_away());
+    const bool is_own_zone = random_.below(100) < options_.own_zone_percent;
+    auto target =
+        is_own_zone
+            ? next_in_round(own_zone_round_, table_.living_in_own_zone())
+            : next_in_round(other_zone_round_, table_.living_in_other_zones());
     if (!target) {
-        target = is_home ? next_of_round(away_round_, table_.living_away())
-                         : next_of_round(home_round_, table_.living_home());
+        target = is_own_zone ? next_in_round(other_zone_round_,
+                                             table_.living_in_other_zones())
+                             : next_in_round(own_zone_round_,
+                                             table_.living_in_own_zone());
     }
     if (!target) {
         return;
@@ -82,19 +87,19 @@
     out.push_back({membership_kind::ping, *target, {}, last_sequence_});
 }
 
-void failure_detector::try_dead(steady_time now,
-                                std::vector<probe_action>& out) {
+void failure_detector::probe_dead_member(steady_time now,
+                                         std::vector<probe_action>& out) {
     const auto period =
         static_cast<std::uint64_t>(options_.dead_probe_period.count());
     next_dead_probe_at_ = now + options_.dead_probe_period / 2 +
                           std::chrono::milliseconds(random_.below(period));
-    if (const auto target = pick(table_.not_living())) {
+    if (const auto target = pick_random(table_.not_living())) {
         out.push_back({membership_kind::ping, *target, {}, ++last_sequence_});
     }
 }
 
-void failure_detector::end_suspicions(steady_time now,
-                                      std::vector<instance_id>& changed) {
+void failure_detector::expire_suspicions(steady_time now,
+                                         std::vector<instance_id>& changed) {
     const double size = std::log10(static_cast<double>(table_.living_count()));
     const auto limit = options_.suspicion_timeout * std::max(1.0, size);
     std::vector<instance_id> overdue;
@@ -146,17 +151,19 @@
 }
 
 std::optional<instance_id> failure_detector::pick_living() {
-    const bool is_home = random_.below(100) < options_.home_percent;
+    const bool is_own_zone = random_.below(100) < options_.own_zone_percent;
     const auto first =
-        pick(is_home ? table_.living_home() : table_.living_away());
+        pick_random(is_own_zone ? table_.living_in_own_zone()
+                                : table_.living_in_other_zones());
     if (first) {
         return first;
     }
-    return pick(is_home ? table_.living_away() : table_.living_home());
+    return pick_random(is_own_zone ? table_.living_in_other_zones()
+                                   : table_.living_in_own_zone());
 }
 
 std::optional<instance_id>
-failure_detector::pick(std::span<const instance_id> names) {
+failure_detector::pick_random(std::span<const instance_id> names) {
     if (names.empty()) {
         return std::nullopt;
     }
@@ -164,7 +171,7 @@
 }
 
 std::optional<instance_id>
-failure_detector::next_of_round(std::vector<instance_id>& round,
+failure_detector::next_in_round(std::vector<instance_id>& round,
                                 std::span<const instance_id> names) {
     if (round.empty()) {
         round.assign(names.begin(), names.end());
@@ -180,7 +187,7 @@
             return name;
         }
     }
-    return pick(names);
+    return pick_random(names);
 }
 
 } // namespace savorydock
--- a/servers/membership/failure_detector.hpp
+++ b/servers/membership/failure_detector.hpp
@@ -12,19 +12,24 @@
 namespace savorydock {
 
 struct failure_detector_options {
+    /// Time between two probes of living members.
     std::chrono::milliseconds probe_period{1'000};
-    /// After that long without an ack others are asked to probe.
+    /// After this time without an ack other members are asked to ping the
+    /// target.
     std::chrono::milliseconds ack_timeout{400};
+    /// Number of members that are asked.
     std::uint32_t indirect_probes = 3;
-    /// How long a suspect may take to refute, per power of ten of members.
+    /// Time that a suspected member has to refute the suspicion, multiplied by
+    /// the decimal logarithm of the number of living members (at least 1).
     std::chrono::milliseconds suspicion_timeout{4'000};
-    /// How often one dead member is tried, so that a healed cut shows.
+    /// Mean time between pings to dead members, which detect that a network
+    /// partition has healed.
     std::chrono::milliseconds dead_probe_period{2'000};
-    /// Probes out of 100 that stay in the own zone.
-    std::uint32_t home_percent = 75;
+    /// Percentage of probes that go to members of the own zone.
+    std::uint32_t own_zone_percent = 75;
 };
 
-/// A message that the detector wants sent.
+/// A message to be sent for the detector.
 struct probe_action {
     membership_kind kind = membership_kind::ping;
     instance_id to;
@@ -32,27 +37,29 @@
     std::uint64_t sequence = 0;
 };
 
-/// Finds members that do not answer: one probe a period, then indirect
-/// probes, then suspicion, then death. Not thread safe.
+/// Detects members that do not answer. Pings one member per period; if it sends
+/// no ack, asks other members to ping it, then marks it suspect and, if it does
+/// not refute this in time, dead. Not thread safe.
 class failure_detector {
 public:
     /// The table and the random source must outlive the object.
     failure_detector(member_table& table, failure_detector_options options,
                      random_source& random);
 
-    /// Sends what is due; returns the members whose condition changed.
+    /// Adds the messages that are due to `out`; returns the members whose
+    /// condition changed.
     [[nodiscard]] std::vector<instance_id>
     on_tick(steady_time now, std::vector<probe_action>& out);
 
-    /// An ack came in; also passes it on if it was asked for.
+    /// Handles an ack; forwards it if the ping was sent for another instance.
     void on_ack(std::uint64_t sequence, std::vector<probe_action>& out);
 
-    /// Another instance asks for a probe of `target`.
+    /// Pings `target` on behalf of `from`.
     void on_ping_request(const instance_id& from, std::uint64_t sequence,
                          const instance_id& target, steady_time now,
                          std::vector<probe_action>& out);
 
-    /// A living member at random, mostly of the own zone.
+    /// Returns a random living member, usually of the own zone.
     [[nodiscard]] std::optional<instance_id> pick_living();
 
 private:
@@ -72,16 +79,17 @@
         steady_time expires_at{};
     };
 
-    void ask_others(std::vector<probe_action>& out);
+    void request_indirect_probes(std::vector<probe_action>& out);
     void finish_probe(steady_time now, std::vector<instance_id>& changed);
     void start_probe(steady_time now, std::vector<probe_action>& out);
-    void try_dead(steady_time now, std::vector<probe_action>& out);
-    void end_suspicions(steady_time now, std::vector<instance_id>& changed);
+    void probe_dead_member(steady_time now, std::vector<probe_action>& out);
+    void expire_suspicions(steady_time now, std::vector<instance_id>& changed);
     [[nodiscard]] std::optional<instance_id>
-    pick(std::span<const instance_id> names);
-    /// The next member of a shuffled round, so that none waits for long.
+    pick_random(std::span<const instance_id> names);
+    /// Returns the next living member of a shuffled list, which is refilled
+    /// when empty, so that every member is probed regularly.
     [[nodiscard]] std::optional<instance_id>
-    next_of_round(std::vector<instance_id>& round,
+    next_in_round(std::vector<instance_id>& round,
                   std::span<const instance_id> names);
 
     member_table& table_;
@@ -92,8 +100,8 @@
     steady_time next_probe_at_{};
     steady_time next_dead_probe_at_{};
     std::vector<relay> relays_;
-    std::vector<instance_id> home_round_;
-    std::vector<instance_id> away_round_;
+    std::vector<instance_id> own_zone_round_;
+    std::vector<instance_id> other_zone_round_;
 };
 
 } // namespace savorydock
--- a/servers/membership/gossip_queue.hpp
+++ b/servers/membership/gossip_queue.hpp
@@ -9,32 +9,36 @@
 
 namespace savorydock {
 
-/// Names of records that have yet to be passed on, each a bounded number of
+/// Keys of records that are still to be gossiped, each a limited number of
 /// times. Not thread safe.
 template <class Key>
 class gossip_queue {
 public:
-    /// Passes a record on `budget` times, from now.
-    void add(const Key& key, std::uint32_t budget) { left_[key] = budget; }
-
-    /// Another instance passed the same record on: once less to do here.
-    void note_heard(const Key& key) {
-        const auto found = left_.find(key);
-        if (found != left_.end() && --found->second == 0) {
-            left_.erase(found);
+    /// Schedules a record for `transmission_limit` transmissions; replaces an
+    /// earlier schedule of the same record.
+    void add(const Key& key, std::uint32_t transmission_limit) {
+        remaining_[key] = transmission_limit;
+    }
+
+    /// Counts a copy of the record that arrived from another instance as one
+    /// of the transmissions.
+    void note_received(const Key& key) {
+        const auto found = remaining_.find(key);
+        if (found != remaining_.end() && --found->second == 0) {
+            remaining_.erase(found);
         }
     }
 
-    [[nodiscard]] bool is_empty() const { return left_.empty(); }
-    [[nodiscard]] std::size_t size() const { return left_.size(); }
+    [[nodiscard]] bool is_empty() const { return remaining_.empty(); }
+    [[nodiscard]] std::size_t size() const { return remaining_.size(); }
 
-    /// Returns the names that were passed on least, at most `count`, and
-    /// counts them as passed on once more.
+    /// Returns at most `count` keys, those with the most transmissions left
+    /// first, and counts one transmission for each.
     [[nodiscard]] std::vector<Key> take(std::size_t count) {
         std::vector<std::pair<std::uint32_t, const Key*>> order;
-        order.reserve(left_.size());
-        for (const auto& [key, left] : left_) {
-            order.emplace_back(left, &key);
+        order.reserve(remaining_.size());
+        for (const auto& [key, remaining] : remaining_) {
+            order.emplace_back(remaining, &key);
         }
         const std::size_t size = std::min(count, order.size());
         std::partial_sort(
@@ -47,16 +51,17 @@
             taken.push_back(*order[i].second);
         }
         for (const Key& key : taken) {
-            const auto found = left_.find(key);
+            const auto found = remaining_.find(key);
             if (--found->second == 0) {
-                left_.erase(found);
+                remaining_.erase(found);
             }
         }
         return taken;
     }
 
 private:
-    std::map<Key, std::uint32_t> left_;
+    /// Transmissions left for each key.
+    std::map<Key, std::uint32_t> remaining_;
 };
 
 } // namespace savorydock
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -46,7 +46,7 @@
         }
         members_[record.name] = {.record = record, .changed_at = now};
         is_list_stale_ = true;
-        return merge_result::news;
+        return merge_result::updated;
     }
     member_record next = record;
     member_record& held = found->second.record;
@@ -65,7 +65,7 @@
                      is_living(next.condition) != is_living(held.condition);
     held = std::move(next);
     found->second.changed_at = now;
-    return merge_result::news;
+    return merge_result::updated;
 }
 
 bool member_table::add_listed(const member_record& record, steady_time now,
@@ -85,20 +85,20 @@
     return true;
 }
 
-bool member_table::hear(const instance_id& name, std::uint64_t incarnation,
-                        steady_time now) {
+bool member_table::note_contact(const instance_id& name,
+                                std::uint64_t incarnation, steady_time now) {
     const auto found = members_.find(name);
     if (found == members_.end()) {
         return false;
     }
-    found->second.heard_at = now;
+    found->second.last_contact = now;
     if (incarnation <= found->second.record.incarnation) {
         return false;
     }
     member_record next = found->second.record;
     next.incarnation = incarnation;
     next.condition = member_condition::alive;
-    return merge(next, now) == merge_result::news;
+    return merge(next, now) == merge_result::updated;
 }
 
 bool member_table::set_condition(const instance_id& name,
@@ -114,8 +114,8 @@
     return true;
 }
 
-void member_table::forget(steady_time now,
-                          std::chrono::milliseconds retention) {
+void member_table::remove_expired(steady_time now,
+                                  std::chrono::milliseconds retention) {
     const auto erased = std::erase_if(members_, [&](const auto& entry) {
         const member& held = entry.second;
         return !held.is_seed && !is_living(held.record.condition) &&
@@ -143,37 +143,37 @@
         return;
     }
     is_list_stale_ = false;
-    home_.clear();
-    away_.clear();
-    gone_.clear();
+    own_zone_.clear();
+    other_zones_.clear();
+    not_living_.clear();
     for (const auto& [name, held] : members_) {
         if (!is_living(held.record.condition)) {
-            gone_.push_back(name);
+            not_living_.push_back(name);
         } else if (held.record.zone == self_.zone) {
-            home_.push_back(name);
+            own_zone_.push_back(name);
         } else {
-            away_.push_back(name);
+            other_zones_.push_back(name);
         }
     }
 }
 
-std::span<const instance_id> member_table::living_home() const {
+std::span<const instance_id> member_table::living_in_own_zone() const {
     refresh_lists();
-    return home_;
+    return own_zone_;
 }
 
-std::span<const instance_id> member_table::living_away() const {
+std::span<const instance_id> member_table::living_in_other_zones() const {
     refresh_lists();
-    return away_;
+    return other_zones_;
 }
 
 std::span<const instance_id> member_table::not_living() const {
     refresh_lists();
-    return gone_;
+    return not_living_;
 }
 
 std::size_t member_table::living_count() const {
-    return living_home().size() + living_away().size() + 1;
+    return living_in_own_zone().size() + living_in_other_zones().size() + 1;
 }
 
 missing_members member_table::count_missing() const {
--- a/servers/membership/membership_message.hpp
+++ b/servers/membership/membership_message.hpp
@@ -10,19 +10,19 @@
 
 namespace savorydock {
 
-/// What an instance is held to be. Of two records with one incarnation the
-/// later condition of this list wins.
+/// Condition of an instance as seen by its peers. Of two records with the same
+/// incarnation, the one whose condition comes later in this list wins.
 enum class member_condition : std::uint8_t {
     alive,
-    /// Did not answer; still used until it is held dead.
+    /// Did not answer a probe; treated as living until it is declared dead.
     suspect,
     dead,
-    /// Said itself that it ends.
+    /// Announced its own shutdown.
     left,
 };
 
-/// What is known of one instance. Only the instance itself raises its
-/// incarnation: at a start, and to refute a suspicion.
+/// What is known about one instance. Only the instance itself raises its
+/// incarnation: when it starts, and to refute a suspicion.
 struct member_record {
     instance_id name;
     availability_zone zone;
@@ -35,8 +35,9 @@
 BOOST_DESCRIBE_STRUCT(member_record, (),
                       (name, zone, address, incarnation, condition))
 
-/// What the instances of one zone last saw of an upstream. The higher
-/// sequence wins; of two with one sequence, the one not suspected.
+/// Latest observation of an upstream by the instances of one zone. The report
+/// with the higher sequence wins; of two with the same sequence, the one
+/// without suspicion.
 struct zone_report {
     availability_zone zone;
     std::uint64_t sequence = 0;
@@ -46,15 +47,16 @@
 };
 BOOST_DESCRIBE_STRUCT(zone_report, (), (zone, sequence, is_suspected))
 
-/// What is known of one upstream beside "it serves". Records merge member by
-/// member, each by its maximum, so order and repetition do not matter.
+/// Leaving state, newest registration and health reports of an upstream.
+/// Records are merged field by field, each to its maximum, so the order and
+/// repetition of merges do not matter.
 struct upstream_record {
     service_name service;
     upstream_id upstream;
-    /// Registrations up to this store revision are leaving; 0 if none is.
+    /// Registrations up to this store revision are leaving; 0 if none are.
     store_revision leaving_through = 0;
-    /// The newest registration known; it serves if it is newer than
-    /// `leaving_through`.
+    /// Store revision of the newest known registration. The upstream is not
+    /// leaving if this is newer than `leaving_through`.
     store_revision registered = 0;
     std::vector<zone_report> reports;
 
@@ -66,25 +68,27 @@
 enum class membership_kind : std::uint8_t {
     ping,
     ack,
-    /// Asks the receiver to ping `target` and to pass its ack on.
+    /// Asks the receiver to ping `target` and to forward its ack.
     ping_request,
     /// Only carries records.
     gossip,
-    /// Compares digests; the answer is gossip with what differs.
+    /// Compares digests; answered with gossip of the records that differ.
     digest,
 };
 
-/// Every message between instances about instances and upstreams.
+/// Message between instances about the state of instances and upstreams.
 struct membership_message {
     membership_kind kind = membership_kind::gossip;
     std::uint64_t sequence = 0;
+    /// Incarnation of the sender.
     std::uint64_t incarnation = 0;
-    /// The newest store revision that any instance read a list at.
+    /// Newest store revision at which any instance read the platform's list,
+    /// as far as the sender knows.
     store_revision list_revision = 0;
     instance_id target;
     std::vector<member_record> members;
     std::vector<upstream_record> upstreams;
-    /// One hash per bucket: the members' buckets, then the upstreams'.
+    /// One hash per bucket: first the buckets of members, then of upstreams.
     std::vector<std::uint64_t> digest;
 };
 BOOST_DESCRIBE_STRUCT(membership_message, (),
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -13,17 +13,19 @@
 
 namespace {
 
-constexpr std::uint64_t instance_tickets = 1ULL << 32U;
-constexpr std::uint64_t upstream_tickets = 2ULL << 32U;
+constexpr std::uint64_t instance_list_tickets = 1ULL << 32U;
+constexpr std::uint64_t upstream_list_tickets = 2ULL << 32U;
 constexpr std::size_t readers_per_zone = 2;
+/// How long gossip is also pushed in messages of its own after a change.
 constexpr std::chrono::milliseconds push_time{2'000};
-/// Messages that carry urgent news per tick: to the own zone and beyond.
-constexpr int home_pushes = 2;
-constexpr int away_pushes = 1;
+/// Gossip messages per tick during `push_time` after a change: to the own zone
+/// and to other zones.
+constexpr int own_zone_pushes = 2;
+constexpr int other_zone_pushes = 1;
 constexpr std::size_t max_digest_records = 200;
 constexpr std::size_t max_message_records = 512;
-/// Fewer missing instances than this are no sign of a cut.
-constexpr std::size_t min_cut_size = 2;
+/// With fewer missing instances this one is not considered cut off.
+constexpr std::size_t min_missing_for_cut_off = 2;
 
 } // namespace
 
@@ -35,58 +37,58 @@
     , table_(options_.self)
     , detector_(table_, options_.detector, random)
     , health_(chart, options_.health, random)
-    , instance_list_(std::string(instance_list_prefix), instance_tickets,
+    , instance_list_(std::string(instance_list_prefix), instance_list_tickets,
                      random)
-    , upstream_list_(std::string(upstream_list_prefix), upstream_tickets,
+    , upstream_list_(std::string(upstream_list_prefix), upstream_list_tickets,
                      random) {}
 
-void membership_server::begin(steady_time now) {
-    has_begun_ = true;
+void membership_server::initialize(steady_time now) {
+    is_initialized_ = true;
     for (const member_record& seed : options_.seeds) {
         table_.add_listed(seed, now, true);
     }
     queue_member(table_.self().name);
     push_until_ = now + push_time;
-    next_second_at_ = now;
+    next_maintenance_at_ = now;
     next_digest_at_ = now;
 }
 
 void membership_server::on_tick(steady_time now, command_list& out) {
-    if (!has_begun_) {
-        begin(now);
+    if (!is_initialized_) {
+        initialize(now);
     }
     std::vector<probe_action> actions;
     for (const instance_id& name : detector_.on_tick(now, actions)) {
         queue_member(name);
-        tell_condition(name, out);
+        log_condition(name, out);
     }
-    act(actions, out);
+    send_probe_messages(actions, out);
     health_.tick(
         now, [this](const upstream_key& key) { return is_prober(key); }, out);
-    take_health_news(now);
-    push_news(now, out);
-    if (now >= next_second_at_) {
-        next_second_at_ = now + std::chrono::seconds(1);
-        table_.forget(now, options_.dead_retention);
-        judge_cut(out);
-        read_lists(now, out);
+    queue_health_updates(now);
+    push_gossip(now, out);
+    if (now >= next_maintenance_at_) {
+        next_maintenance_at_ = now + std::chrono::seconds(1);
+        table_.remove_expired(now, options_.dead_retention);
+        check_cut_off(out);
+        poll_platform_lists(now, out);
     }
     if (now >= next_digest_at_) {
         const auto period =
             static_cast<std::uint64_t>(options_.digest_period.count());
-        next_digest_at_ = early_digests_ > 0
+        next_digest_at_ = startup_digests_left_ > 0
                               ? now + std::chrono::seconds(1)
                               : now + std::chrono::milliseconds(
                                           period / 2 + random_.below(period));
-        early_digests_ -= early_digests_ > 0 ? 1 : 0;
+        startup_digests_left_ -= startup_digests_left_ > 0 ? 1 : 0;
         if (const auto peer = detector_.pick_living()) {
             send_digest(*peer, out);
         }
     }
 }
 
-void membership_server::act(const std::vector<probe_action>& actions,
-                            command_list& out) {
+void membership_server::send_probe_messages(
+    const std::vector<probe_action>& actions, command_list& out) {
     for (const probe_action& action : actions) {
         send({.kind = action.kind,
               .sequence = action.sequence,
@@ -95,21 +97,21 @@
     }
 }
 
-void membership_server::push_news(steady_time now, command_list& out) {
+void membership_server::push_gossip(steady_time now, command_list& out) {
     if (now >= push_until_) {
         return;
     }
     const auto push = [&](std::span<const instance_id> names, int count) {
         for (int i = 0; i < count && !names.empty(); ++i) {
-            if (member_news_.is_empty() && upstream_news_.is_empty()) {
+            if (member_gossip_.is_empty() && upstream_gossip_.is_empty()) {
                 return;
             }
             const instance_id& to = names[random_.below(names.size())];
             send({.kind = membership_kind::gossip}, to, out);
         }
     };
-    push(table_.living_home(), home_pushes);
-    push(table_.living_away(), away_pushes);
+    push(table_.living_in_own_zone(), own_zone_pushes);
+    push(table_.living_in_other_zones(), other_zone_pushes);
 }
 
 void membership_server::send_digest(const instance_id& to, command_list& out) {
@@ -128,17 +130,18 @@
     if (message.digest.size() != split + upstream_registry::bucket_count) {
         return;
     }
-    const auto mine = table_.digest();
+    const auto own_digest = table_.digest();
     membership_message answer{.kind = membership_kind::gossip};
     const auto add = [&](const member_record& record) {
         const std::size_t bucket = member_table::bucket_of(record.name);
-        if (mine[bucket] != message.digest[bucket] &&
+        if (own_digest[bucket] != message.digest[bucket] &&
             answer.members.size() < max_digest_records) {
             answer.members.push_back(record);
         }
     };
     add(table_.self());
-    // From a random place on, so that a bound cuts off others each time.
+    // Starts at a random member, so that the limit leaves out different ones
+    // each time.
     const auto& members = table_.members();
     const std::size_t skip =
         members.empty() ? 0 : random_.below(members.size());
@@ -170,10 +173,10 @@
     }
     ++counters_.messages_in;
     list_revision_ = std::max(list_revision_, body->list_revision);
-    take_records(*body, now, out);
-    if (table_.hear(message.from, body->incarnation, now)) {
+    merge_records(*body, now, out);
+    if (table_.note_contact(message.from, body->incarnation, now)) {
         queue_member(message.from);
-        tell_condition(message.from, out);
+        log_condition(message.from, out);
     }
     std::vector<probe_action> actions;
     switch (body->kind) {
@@ -194,31 +197,31 @@
     case membership_kind::gossip:
         break;
     }
-    act(actions, out);
+    send_probe_messages(actions, out);
 }
 
-void membership_server::take_records(const membership_message& message,
-                                     steady_time now, command_list& out) {
+void membership_server::merge_records(const membership_message& message,
+                                      steady_time now, command_list& out) {
     for (const member_record& record : message.members) {
-        take_member(record, now, out);
+        merge_member(record, now, out);
     }
     for (const upstream_record& record : message.upstreams) {
         health_.merge(record, now, out);
     }
-    take_health_news(now);
+    queue_health_updates(now);
 }
 
-void membership_server::take_member(const member_record& record,
-                                    steady_time now, command_list& out) {
+void membership_server::merge_member(const member_record& record,
+                                     steady_time now, command_list& out) {
     switch (table_.merge(record, now)) {
     case merge_result::unchanged:
         if (table_.record_of(record.name) == record) {
-            member_news_.note_heard(record.name);
+            member_gossip_.note_received(record.name);
         }
         return;
-    case merge_result::news:
+    case merge_result::updated:
         queue_member(record.name);
-        tell_condition(record.name, out);
+        log_condition(record.name, out);
         return;
     case merge_result::refuted:
         queue_member(table_.self().name);
@@ -227,15 +230,15 @@
     }
 }
 
-void membership_server::take_health_news(steady_time now) {
-    for (const upstream_key& key : health_.take_news()) {
-        upstream_news_.add(key, budget());
+void membership_server::queue_health_updates(steady_time now) {
+    for (const upstream_key& key : health_.take_updates()) {
+        upstream_gossip_.add(key, transmission_limit());
         push_until_ = now + push_time;
     }
 }
 
-void membership_server::tell_condition(const instance_id& name,
-                                       command_list& out) {
+void membership_server::log_condition(const instance_id& name,
+                                      command_list& out) {
     const member* found = table_.find(name);
     if (found == nullptr) {
         return;
@@ -252,46 +255,48 @@
             " incarnation=" + std::to_string(found->record.incarnation)});
 }
 
-void membership_server::judge_cut(command_list& out) {
+void membership_server::check_cut_off(command_list& out) {
     const auto [missing, known] = table_.count_missing();
-    const bool is_cut = missing >= min_cut_size && 2 * missing > known;
-    if (is_cut == is_cut_off_) {
+    const bool is_now_cut_off =
+        missing >= min_missing_for_cut_off && 2 * missing > known;
+    if (is_now_cut_off == is_cut_off_) {
         return;
     }
-    is_cut_off_ = is_cut;
-    out.push_back(log_command{is_cut ? log_event::zone_cut_suspected
-                                     : log_event::zone_cut_ended,
+    is_cut_off_ = is_now_cut_off;
+    out.push_back(log_command{is_now_cut_off ? log_event::zone_cut_suspected
+                                             : log_event::zone_cut_ended,
                               "missing=" + std::to_string(missing) +
                                   " known=" + std::to_string(known)});
 }
 
-void membership_server::read_lists(steady_time now, command_list& out) {
+void membership_server::poll_platform_lists(steady_time now,
+                                            command_list& out) {
     if (!options_.reads_platform_list) {
         return;
     }
     const std::size_t before = out.size();
-    const bool is_chosen = is_reader();
+    const bool is_chosen = is_list_reader();
     instance_list_.on_tick(is_chosen, now, out);
     upstream_list_.on_tick(is_chosen, now, out);
     counters_.platform_calls += out.size() - before;
 }
 
-bool membership_server::is_reader() const {
-    const std::uint64_t mine = stable_hash(table_.self().name.text());
-    std::size_t ahead = 0;
-    for (const instance_id& name : table_.living_home()) {
-        ahead += stable_hash(name.text()) > mine ? 1 : 0;
+bool membership_server::is_list_reader() const {
+    const std::uint64_t own_hash = stable_hash(table_.self().name.text());
+    std::size_t higher_ranked = 0;
+    for (const instance_id& name : table_.living_in_own_zone()) {
+        higher_ranked += stable_hash(name.text()) > own_hash ? 1 : 0;
     }
-    return ahead < readers_per_zone;
+    return higher_ranked < readers_per_zone;
 }
 
 bool membership_server::is_prober(const upstream_key& key) const {
     const std::uint64_t seed =
         stable_hash(key.upstream.text(), stable_hash(key.service.text()));
-    const std::uint64_t mine = stable_hash(table_.self().name.text(), seed);
-    const auto home = table_.living_home();
-    return std::none_of(home.begin(), home.end(), [&](const auto& name) {
-        return stable_hash(name.text(), seed) > mine;
+    const std::uint64_t own_hash = stable_hash(table_.self().name.text(), seed);
+    const auto peers = table_.living_in_own_zone();
+    return std::none_of(peers.begin(), peers.end(), [&](const auto& name) {
+        return stable_hash(name.text(), seed) > own_hash;
     });
 }
 
@@ -311,13 +316,13 @@
     }
     list_revision_ = std::max(
         {list_revision_, instance_list_.revision(), upstream_list_.revision()});
-    take_health_news(now);
+    queue_health_updates(now);
 }
 
 void membership_server::on_observation(const upstream_observation& observation,
                                        steady_time now, command_list& out) {
     health_.observe(observation, list_revision_, now, out);
-    take_health_news(now);
+    queue_health_updates(now);
 }
 
 void membership_server::on_configuration(
@@ -348,18 +353,18 @@
     return record ? std::optional(record->address) : std::nullopt;
 }
 
-std::uint32_t membership_server::budget() const {
+std::uint32_t membership_server::transmission_limit() const {
     return 2 *
            static_cast<std::uint32_t>(std::bit_width(table_.living_count()));
 }
 
 void membership_server::queue_member(const instance_id& name) {
-    member_news_.add(name, budget());
+    member_gossip_.add(name, transmission_limit());
 }
 
 void membership_server::send(membership_message message, const instance_id& to,
                              command_list& out) {
-    fill(message, to);
+    attach_records(message, to);
     peer_message packed{.from = table_.self().name,
                         .to = to,
                         .topic = peer_topic::membership,
@@ -369,25 +374,26 @@
     out.push_back(std::move(packed));
 }
 
-void membership_server::fill(membership_message& message,
-                             const instance_id& to) {
+void membership_server::attach_records(membership_message& message,
+                                       const instance_id& to) {
     message.incarnation = table_.self().incarnation;
     message.list_revision = list_revision_;
     if (message.kind == membership_kind::ping) {
         message.members.push_back(table_.self());
     }
-    // It must hear what is held of it, or it could not refute that.
+    // The receiver can refute that it is suspect or dead only if it is told.
     const member* receiver = table_.find(to);
     if (receiver != nullptr &&
         receiver->record.condition != member_condition::alive) {
         message.members.push_back(receiver->record);
     }
-    for (const auto& name : member_news_.take(options_.records_per_message)) {
+    for (const auto& name : member_gossip_.take(options_.records_per_message)) {
         if (auto record = table_.record_of(name)) {
             message.members.push_back(std::move(*record));
         }
     }
-    for (const auto& key : upstream_news_.take(options_.records_per_message)) {
+    for (const auto& key :
+         upstream_gossip_.take(options_.records_per_message)) {
         if (const auto* record = health_.registry().find(key)) {
             message.upstreams.push_back(*record);
         }
--- a/servers/membership/membership_server.hpp
+++ b/servers/membership/membership_server.hpp
@@ -18,22 +18,24 @@
 namespace savorydock {
 
 struct membership_options {
-    /// This instance. Its incarnation must be higher than in any earlier
-    /// life of the process; seconds since 1970 do.
+    /// This instance. Its incarnation must be higher than in any earlier run
+    /// of the process; its start time in Unix seconds is sufficient.
     member_record self;
-    /// Instances of the settings, to begin with.
+    /// Instances listed in the settings, known from the start.
     std::vector<member_record> seeds;
     failure_detector_options detector;
     upstream_health_options health;
+    /// Mean time between digests sent to random members.
     std::chrono::milliseconds digest_period{30'000};
+    /// How long dead and left members are kept.
     std::chrono::milliseconds dead_retention{7'200'000};
-    /// Records of each kind in one message.
+    /// Maximum gossip records of members, and of upstreams, in one message.
     std::uint32_t records_per_message = 12;
-    /// Whether the platform's list is read at all.
+    /// Whether this instance may read the platform's list.
     bool reads_platform_list = true;
 };
 
-/// What the server has sent and taken, for metrics.
+/// Totals of messages, bytes and platform calls, for metrics.
 struct membership_counters {
     std::uint64_t messages_out = 0;
     std::uint64_t bytes_out = 0;
@@ -42,9 +44,9 @@
     std::uint64_t platform_calls = 0;
 };
 
-/// Which instances live and how upstreams fare. Instances probe each other
-/// and pass on what they learn; the platform's list, read by two instances
-/// per zone, adds instances and registrations of upstreams.
+/// Tracks which instances are alive and the condition of upstreams. Instances
+/// probe each other and gossip changes. Two instances per zone also read the
+/// platform's list, which adds instances and registrations of upstreams.
 class membership_server final : public control_server {
 public:
     /// The chart and the random source must outlive the server.
@@ -64,46 +66,50 @@
     void on_configuration(std::shared_ptr<const configuration_view> view,
                           steady_time now, command_list& out) override;
 
-    /// Says that this instance ends, so that others need not find out.
+    /// Announces that this instance shuts down, so that the others need not
+    /// detect it.
     void leave();
 
-    /// This instance and all that are known, with their conditions.
+    /// Returns this instance and all known ones, with their conditions.
     [[nodiscard]] std::vector<member_record> instances() const;
-    /// Where an instance listens to its peers, if it is known.
+    /// Returns the address at which an instance listens for peers, or nothing
+    /// if it is unknown.
     [[nodiscard]] std::optional<endpoint>
     find_address(const instance_id& name) const;
     [[nodiscard]] const member_table& table() const { return table_; }
-    /// Every upstream that is not simply serving. Immutable.
+    /// Returns the upstreams whose condition is not serving. Immutable.
     [[nodiscard]] std::shared_ptr<const upstream_state_map> upstream_states() {
         return health_.states();
     }
     [[nodiscard]] const upstream_health& health() const { return health_; }
-    /// Whether most other instances vanished: this one is likely cut off.
+    /// Whether most other instances are missing, so that this one is probably
+    /// cut off from the network.
     [[nodiscard]] bool is_cut_off() const { return is_cut_off_; }
     [[nodiscard]] membership_counters counters() const { return counters_; }
 
 private:
-    void begin(steady_time now);
-    void act(const std::vector<probe_action>& actions, command_list& out);
-    void push_news(steady_time now, command_list& out);
+    void initialize(steady_time now);
+    void send_probe_messages(const std::vector<probe_action>& actions,
+                             command_list& out);
+    void push_gossip(steady_time now, command_list& out);
     void send_digest(const instance_id& to, command_list& out);
     void answer_digest(const instance_id& to, const membership_message& message,
                        command_list& out);
-    void take_records(const membership_message& message, steady_time now,
+    void merge_records(const membership_message& message, steady_time now,
+                       command_list& out);
+    void merge_member(const member_record& record, steady_time now,
                       command_list& out);
-    void take_member(const member_record& record, steady_time now,
-                     command_list& out);
-    void take_health_news(steady_time now);
-    void tell_condition(const instance_id& name, command_list& out);
-    void judge_cut(command_list& out);
-    void read_lists(steady_time now, command_list& out);
-    [[nodiscard]] bool is_reader() const;
+    void queue_health_updates(steady_time now);
+    void log_condition(const instance_id& name, command_list& out);
+    void check_cut_off(command_list& out);
+    void poll_platform_lists(steady_time now, command_list& out);
+    [[nodiscard]] bool is_list_reader() const;
     [[nodiscard]] bool is_prober(const upstream_key& key) const;
-    [[nodiscard]] std::uint32_t budget() const;
+    [[nodiscard]] std::uint32_t transmission_limit() const;
     void queue_member(const instance_id& name);
     void send(membership_message message, const instance_id& to,
               command_list& out);
-    void fill(membership_message& message, const instance_id& to);
+    void attach_records(membership_message& message, const instance_id& to);
 
     const membership_options options_;
     random_source& random_;
@@ -112,16 +118,17 @@
     upstream_health health_;
     platform_list_reader instance_list_;
     platform_list_reader upstream_list_;
-    gossip_queue<instance_id> member_news_;
-    gossip_queue<upstream_key> upstream_news_;
+    gossip_queue<instance_id> member_gossip_;
+    gossip_queue<upstream_key> upstream_gossip_;
     store_revision list_revision_ = 0;
-    bool has_begun_ = false;
+    bool is_initialized_ = false;
     bool is_cut_off_ = false;
-    /// Until then news is pushed, not only carried along.
+    /// Until then changes are also sent in gossip messages of their own, not
+    /// only attached to other messages.
     steady_time push_until_{};
     steady_time next_digest_at_{};
-    steady_time next_second_at_{};
-    std::uint32_t early_digests_ = 3;
+    steady_time next_maintenance_at_{};
+    std::uint32_t startup_digests_left_ = 3;
     membership_counters counters_;
 };
 
--- a/servers/membership/platform_list_reader.cpp
+++ b/servers/membership/platform_list_reader.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr std::chrono::minutes read_period{5};
-/// A call without a reply for that long is given up.
+/// A call without a reply is abandoned after this time, and the range is read
+/// again.
 constexpr std::chrono::minutes reply_timeout{2};
 constexpr std::uint64_t min_retry_ms = 1'000;
 constexpr std::uint64_t retry_spread_ms = 4'000;
@@ -24,18 +25,18 @@
 
 void platform_list_reader::on_tick(bool is_chosen, steady_time now,
                                    command_list& out) {
-    if (is_waiting_ && now - asked_at_ > reply_timeout) {
+    if (is_waiting_ && now - sent_at_ > reply_timeout) {
         is_waiting_ = false;
-        must_read_ = true;
+        must_read_range_ = true;
     }
     if (!is_chosen || is_waiting_ || now < retry_at_) {
         return;
     }
-    must_read_ = must_read_ || now - read_at_ > read_period;
+    must_read_range_ = must_read_range_ || now - last_read_at_ > read_period;
     is_waiting_ = true;
-    asked_at_ = now;
-    platform_call call{.ticket = ticket_base_ + ++last_call_};
-    if (must_read_) {
+    sent_at_ = now;
+    platform_call call{.ticket = ticket_base_ + ++last_ticket_};
+    if (must_read_range_) {
         call.request = read_range{.key = prefix_, .is_prefix = true};
     } else {
         call.request = watch_prefix{.prefix = prefix_, .start = revision_ + 1};
@@ -45,20 +46,20 @@
 
 std::vector<stored_value>
 platform_list_reader::on_reply(const platform_reply& reply, steady_time now) {
-    if (!is_waiting_ || reply.ticket != ticket_base_ + last_call_) {
+    if (!is_waiting_ || reply.ticket != ticket_base_ + last_ticket_) {
         return {};
     }
     is_waiting_ = false;
     if (!reply.answer || reply.answer->is_compacted) {
-        must_read_ = true;
+        must_read_range_ = true;
         retry_at_ = now + std::chrono::milliseconds(
                               min_retry_ms + random_.below(retry_spread_ms));
         return {};
     }
-    if (must_read_) {
-        read_at_ = now;
+    if (must_read_range_) {
+        last_read_at_ = now;
     }
-    must_read_ = false;
+    must_read_range_ = false;
     revision_ = std::max(revision_, reply.answer->revision);
     return reply.answer->values;
 }
--- a/servers/membership/stable_hash.hpp
+++ b/servers/membership/stable_hash.hpp
@@ -5,8 +5,8 @@
 
 namespace savorydock {
 
-/// A hash that is the same in every process (64-bit FNV-1a with a final
-/// mix), for choices that instances must make alike. Thread safe.
+/// A hash that has the same value in every process (64-bit FNV-1a with a final
+/// mix), for choices on which all instances must agree. Thread safe.
 [[nodiscard]] constexpr std::uint64_t stable_hash(std::string_view text,
                                                   std::uint64_t seed = 0) {
     constexpr std::uint64_t offset_basis = 0xcbf29ce484222325;
--- a/servers/membership/upstream_health.cpp
+++ b/servers/membership/upstream_health.cpp
@@ -8,23 +8,25 @@
 
 namespace {
 
+/// Failure score from which an upstream is suspected.
 constexpr std::uint32_t suspect_score = 3;
-constexpr std::uint32_t refused_weight = 2;
-constexpr std::uint32_t lost_weight = 1;
-/// Fewer failing upstreams than this are no sign of a cut.
-constexpr std::uint32_t min_cut_size = 2;
-/// An answer this fresh outweighs a report that was only heard.
-constexpr std::chrono::milliseconds fresh_answer{1'000};
+constexpr std::uint32_t connection_refused_weight = 2;
+constexpr std::uint32_t connection_lost_weight = 1;
+/// With fewer failing upstreams a group is not considered cut off.
+constexpr std::uint32_t min_failing_for_cut_off = 2;
+/// An answer received within this time outweighs a suspicion reported by peers.
+constexpr std::chrono::milliseconds recent_answer_window{1'000};
 
 std::string detail_of(const upstream_key& key) {
     return "service=" + key.service.text() + " upstream=" + key.upstream.text();
 }
 
-std::optional<upstream_condition> condition_of(const chart_position& life) {
-    if (life.is_in("suspected")) {
+std::optional<upstream_condition>
+condition_of(const chart_position& lifecycle) {
+    if (lifecycle.is_in("suspected")) {
         return upstream_condition::suspected;
     }
-    if (life.is_in("leaving")) {
+    if (lifecycle.is_in("leaving")) {
         return upstream_condition::leaving;
     }
     return std::nullopt;
@@ -63,8 +65,8 @@
     states_.reset();
 }
 
-upstream_health::upstream_entry&
-upstream_health::obtain(const upstream_key& key) {
+upstream_health::tracked_upstream&
+upstream_health::find_or_add(const upstream_key& key) {
     return entries_.try_emplace(key, chart_).first->second;
 }
 
@@ -81,52 +83,54 @@
     case upstream_evidence::said_overloaded:
         return note_answer(key, now, out);
     case upstream_evidence::refused_connection:
-        return note_failure(key, refused_weight, now, out);
+        return note_failure(key, connection_refused_weight, now, out);
     case upstream_evidence::connection_lost:
     case upstream_evidence::timed_out:
-        return note_failure(key, lost_weight, now, out);
+        return note_failure(key, connection_lost_weight, now, out);
     case upstream_evidence::said_leaving:
-        return note_said_leaving(key, list_revision, now, out);
+        return note_reported_leaving(key, list_revision, now, out);
     }
 }
 
-void upstream_health::note_said_leaving(const upstream_key& key,
-                                        store_revision list_revision,
-                                        steady_time now, command_list& out) {
-    obtain(key).left_at = now;
-    // It says so itself, hence also of its newest registration.
+void upstream_health::note_reported_leaving(const upstream_key& key,
+                                            store_revision list_revision,
+                                            steady_time now,
+                                            command_list& out) {
+    find_or_add(key).leave_reported_at = now;
+    // The upstream reports this itself, so it also applies to its newest
+    // registration.
     const upstream_record* record = registry_.find(key);
     const store_revision registered = record ? record->registered : 0;
     if (registry_.note_leaving(key, std::max(list_revision, registered))) {
-        news_.insert(key);
+        updated_keys_.insert(key);
     }
-    follow_registry(key, now, out);
+    apply_registry(key, now, out);
 }
 
 void upstream_health::note_failure(const upstream_key& key,
                                    std::uint32_t weight, steady_time now,
                                    command_list& out) {
-    upstream_entry& entry = obtain(key);
+    tracked_upstream& entry = find_or_add(key);
     if (now - entry.last_failure > options_.failure_window) {
         entry.failure_score = 0;
     }
     entry.last_failure = now;
     entry.failure_score += weight;
-    const bool is_probe = entry.life.is_in("probing");
+    const bool is_probe = entry.lifecycle.is_in("probing");
     if (entry.failure_score < suspect_score && !is_probe) {
         return;
     }
     suspect(key, entry, now, out);
 }
 
-void upstream_health::suspect(const upstream_key& key, upstream_entry& entry,
+void upstream_health::suspect(const upstream_key& key, tracked_upstream& entry,
                               steady_time now, command_list& out) {
     if (!fire(key, entry, "suspect", out)) {
         return;
     }
     entry.recover_at = {};
     entry.probe_at = next_probe(now);
-    entry.announce_at = now + options_.announce_after;
+    entry.announce_at = now + options_.announce_delay;
 }
 
 void upstream_health::note_answer(const upstream_key& key, steady_time now,
@@ -135,36 +139,40 @@
     if (found == entries_.end()) {
         return;
     }
-    upstream_entry& entry = found->second;
+    tracked_upstream& entry = found->second;
     entry.failure_score = 0;
     entry.last_answer = now;
     entry.announce_at = {};
     if (!fire(key, entry, "recover", out)) {
         return;
     }
-    // A leave that was outlasted ends for everybody.
+    // The upstream answers after its leaving state timed out: a newer
+    // registration ends that state on all instances.
     const upstream_record* record = registry_.find(key);
     if (record != nullptr && registry_.is_leaving(key) &&
         registry_.note_registered(key, record->leaving_through + 1)) {
-        news_.insert(key);
+        updated_keys_.insert(key);
     }
-    // Others may suspect it without a report of this zone, as in a cut.
-    const bool was_told = registry_.note_report(key, options_.zone, false);
-    if (was_told) {
-        news_.insert(key);
+    // Changes nothing if this zone never reported the suspicion: an upstream
+    // may be suspected without such a report, for example in a partition.
+    const bool is_report_changed =
+        registry_.note_report(key, options_.zone, false);
+    if (is_report_changed) {
+        updated_keys_.insert(key);
     }
 }
 
 void upstream_health::merge(const upstream_record& record, steady_time now,
                             command_list& out) {
     const upstream_key key{record.service, record.upstream};
-    // Before the first configuration anything may turn out to be ours.
+    // Until the first configuration arrives, any upstream may turn out to be
+    // part of it.
     if (!configured_.empty() && !configured_.contains(key)) {
         return;
     }
     if (registry_.merge(record)) {
-        news_.insert(key);
-        follow_registry(key, now, out);
+        updated_keys_.insert(key);
+        apply_registry(key, now, out);
     }
 }
 
@@ -174,31 +182,32 @@
     if (!configured_.contains(key)) {
         return;
     }
-    bool is_news = false;
+    bool is_updated = false;
     if (is_leaving) {
-        is_news = registry_.note_leaving(key, modified);
+        is_updated = registry_.note_leaving(key, modified);
     } else if (registry_.is_leaving(key)) {
-        is_news = registry_.note_registered(key, created);
+        is_updated = registry_.note_registered(key, created);
     }
-    if (is_news) {
-        news_.insert(key);
-        follow_registry(key, now, out);
+    if (is_updated) {
+        updated_keys_.insert(key);
+        apply_registry(key, now, out);
     }
 }
 
-void upstream_health::follow_registry(const upstream_key& key, steady_time now,
-                                      command_list& out) {
-    upstream_entry& entry = obtain(key);
+void upstream_health::apply_registry(const upstream_key& key, steady_time now,
+                                     command_list& out) {
+    tracked_upstream& entry = find_or_add(key);
     const upstream_record* record = registry_.find(key);
     if (record == nullptr) {
         return;
     }
-    const bool is_new_leave = record->leaving_through > entry.left_through;
-    entry.left_through = record->leaving_through;
+    const bool is_new_leave =
+        record->leaving_through > entry.known_leaving_through;
+    entry.known_leaving_through = record->leaving_through;
     if (registry_.is_leaving(key)) {
-        const bool says_again = entry.left_at == now;
-        if (is_new_leave || says_again) {
-            entry.left_at = now;
+        const bool reported_now = entry.leave_reported_at == now;
+        if (is_new_leave || reported_now) {
+            entry.leave_reported_at = now;
             fire(key, entry, "leave", out);
         }
         return;
@@ -206,16 +215,16 @@
     if (fire(key, entry, "register", out)) {
         entry.failure_score = 0;
     }
-    follow_reports(key, entry, now, out);
+    apply_reports(key, entry, now, out);
 }
 
-void upstream_health::follow_reports(const upstream_key& key,
-                                     upstream_entry& entry, steady_time now,
-                                     command_list& out) {
+void upstream_health::apply_reports(const upstream_key& key,
+                                    tracked_upstream& entry, steady_time now,
+                                    command_list& out) {
     const upstream_record* record = registry_.find(key);
     const auto configured = configured_.find(key);
-    // The own zone sees what this instance would see. The upstream's own
-    // zone knows best as long as nobody here has tried.
+    // A report of the own zone reflects what this instance would observe.
+    // Without one, the report of the upstream's zone is the most reliable.
     const zone_report* report = find_report(*record, options_.zone);
     if (report == nullptr && configured != configured_.end()) {
         report = find_report(*record, configured->second);
@@ -224,10 +233,10 @@
         return;
     }
     if (!report->is_suspected) {
-        if (entry.life.is_in("suspected") &&
+        if (entry.lifecycle.is_in("suspected") &&
             entry.recover_at == steady_time{}) {
             const auto spread =
-                static_cast<std::uint64_t>(options_.return_spread.count());
+                static_cast<std::uint64_t>(options_.recovery_jitter.count());
             entry.recover_at =
                 now + std::chrono::milliseconds(1 + random_.below(spread + 1));
         }
@@ -235,9 +244,9 @@
     }
     entry.recover_at = {};
     if (entry.last_answer != steady_time{} &&
-        now - entry.last_answer < fresh_answer) {
+        now - entry.last_answer < recent_answer_window) {
         if (registry_.note_report(key, options_.zone, false)) {
-            news_.insert(key);
+            updated_keys_.insert(key);
         }
         return;
     }
@@ -246,26 +255,28 @@
     }
 }
 
-void upstream_health::tick(steady_time now, const prober_test& is_prober,
+void upstream_health::tick(steady_time now, const prober_predicate& is_prober,
                            command_list& out) {
-    judge_cuts(out);
+    update_cut_off_groups(out);
     for (auto& [key, entry] : entries_) {
         tick_entry(key, entry, now, is_prober, out);
     }
 }
 
-void upstream_health::tick_entry(const upstream_key& key, upstream_entry& entry,
-                                 steady_time now, const prober_test& is_prober,
+void upstream_health::tick_entry(const upstream_key& key,
+                                 tracked_upstream& entry, steady_time now,
+                                 const prober_predicate& is_prober,
                                  command_list& out) {
-    if (entry.life.is_in("leaving") &&
-        now - entry.left_at > options_.leaving_hold) {
+    if (entry.lifecycle.is_in("leaving") &&
+        now - entry.leave_reported_at > options_.leaving_timeout) {
         fire(key, entry, "outlast_leave", out);
         entry.probe_at = next_probe(now);
     }
     if (entry.announce_at != steady_time{} && now >= entry.announce_at) {
         entry.announce_at = {};
-        if (!is_cut(key) && registry_.note_report(key, options_.zone, true)) {
-            news_.insert(key);
+        if (!is_group_cut_off(key) &&
+            registry_.note_report(key, options_.zone, true)) {
+            updated_keys_.insert(key);
         }
     }
     if (entry.recover_at != steady_time{} && now >= entry.recover_at) {
@@ -276,24 +287,24 @@
     tick_probe(key, entry, now, is_prober);
 }
 
-void upstream_health::tick_probe(const upstream_key& key, upstream_entry& entry,
-                                 steady_time now,
-                                 const prober_test& is_prober) {
-    if (entry.life.is_in("probing") && now >= entry.probe_ends_at) {
-        entry.life.fire("end_probe");
+void upstream_health::tick_probe(const upstream_key& key,
+                                 tracked_upstream& entry, steady_time now,
+                                 const prober_predicate& is_prober) {
+    if (entry.lifecycle.is_in("probing") && now >= entry.probe_ends_at) {
+        entry.lifecycle.fire("end_probe");
         entry.probe_at = next_probe(now);
         states_.reset();
-    } else if (entry.life.is_in("suspected") && now >= entry.probe_at) {
+    } else if (entry.lifecycle.is_in("suspected") && now >= entry.probe_at) {
         entry.probe_at = next_probe(now);
         if (is_prober(key)) {
-            entry.life.fire("start_probe");
+            entry.lifecycle.fire("start_probe");
             entry.probe_ends_at = now + options_.probe_window;
             states_.reset();
         }
     }
 }
 
-void upstream_health::judge_cuts(command_list& out) {
+void upstream_health::update_cut_off_groups(command_list& out) {
     std::map<group_key, std::uint32_t> failing;
     for (const auto& [key, entry] : entries_) {
         const auto configured = configured_.find(key);
@@ -302,21 +313,22 @@
             ++failing[{key.service, configured->second}];
         }
     }
-    const auto is_over = [&](const group_key& group) {
+    const auto is_cut_off = [&](const group_key& group) {
         const std::uint32_t count = failing[group];
-        return count >= min_cut_size && 2 * count > group_sizes_[group];
+        return count >= min_failing_for_cut_off &&
+               2 * count > group_sizes_[group];
     };
     const auto log = [&](log_event event, const group_key& group) {
         out.push_back(log_command{event, "service=" + group.first.text() +
                                              " zone=" + group.second.text()});
     };
     for (const auto& [group, count] : std::map(failing)) {
-        if (is_over(group) && cuts_.insert(group).second) {
+        if (is_cut_off(group) && cut_off_groups_.insert(group).second) {
             log(log_event::zone_cut_suspected, group);
         }
     }
-    std::erase_if(cuts_, [&](const group_key& group) {
-        if (is_over(group)) {
+    std::erase_if(cut_off_groups_, [&](const group_key& group) {
+        if (is_cut_off(group)) {
             return false;
         }
         log(log_event::zone_cut_ended, group);
@@ -324,22 +336,22 @@
     });
 }
 
-bool upstream_health::is_cut(const upstream_key& key) const {
+bool upstream_health::is_group_cut_off(const upstream_key& key) const {
     const auto configured = configured_.find(key);
     return configured != configured_.end() &&
-           cuts_.contains({key.service, configured->second});
+           cut_off_groups_.contains({key.service, configured->second});
 }
 
-bool upstream_health::fire(const upstream_key& key, upstream_entry& entry,
+bool upstream_health::fire(const upstream_key& key, tracked_upstream& entry,
                            std::string_view event, command_list& out) {
-    if (!entry.life.fire(event)) {
+    if (!entry.lifecycle.fire(event)) {
         return false;
     }
     states_.reset();
-    if (entry.life.is_in("suspected")) {
+    if (entry.lifecycle.is_in("suspected")) {
         out.push_back(
             log_command{log_event::upstream_suspected, detail_of(key)});
-    } else if (entry.life.is_in("leaving")) {
+    } else if (entry.lifecycle.is_in("leaving")) {
         out.push_back(log_command{log_event::upstream_leaving, detail_of(key)});
     } else {
         out.push_back(log_command{log_event::upstream_healthy, detail_of(key)});
@@ -354,9 +366,9 @@
            std::chrono::milliseconds(random_.below(period + 1));
 }
 
-std::vector<upstream_key> upstream_health::take_news() {
-    std::vector<upstream_key> taken(news_.begin(), news_.end());
-    news_.clear();
+std::vector<upstream_key> upstream_health::take_updates() {
+    std::vector<upstream_key> taken(updated_keys_.begin(), updated_keys_.end());
+    updated_keys_.clear();
     return taken;
 }
 
@@ -364,7 +376,7 @@
     if (!states_) {
         auto states = std::make_shared<upstream_state_map>();
         for (const auto& [key, entry] : entries_) {
-            if (const auto condition = condition_of(entry.life)) {
+            if (const auto condition = condition_of(entry.lifecycle)) {
                 (*states)[key].condition = *condition;
             }
         }
--- a/servers/membership/upstream_health.hpp
+++ b/servers/membership/upstream_health.hpp
@@ -20,28 +20,34 @@
 
 struct upstream_health_options {
     availability_zone zone;
-    /// Failures older than this do not count together with newer ones.
+    /// The failure score restarts if the previous failure is older than this.
     std::chrono::milliseconds failure_window{10'000};
-    /// How long a suspicion is kept to oneself, so that a cut shows itself
-    /// as many of them before the first is told.
-    std::chrono::milliseconds announce_after{1'000};
+    /// How long a suspicion stays local before peers are told. In a network
+    /// partition many upstreams become suspected within this time, so the
+    /// partition is recognised before the first suspicion is announced.
+    std::chrono::milliseconds announce_delay{1'000};
+    /// Minimum time between probes of a suspected upstream; the actual time is
+    /// random, up to twice this.
     std::chrono::milliseconds probe_period{2'000};
+    /// How long a probed upstream is treated as serving, so that requests show
+    /// whether it answers.
     std::chrono::milliseconds probe_window{1'000};
-    /// A recovery that was only heard of takes effect within this, at
-    /// random, so that an upstream is not met by all instances at once.
-    std::chrono::milliseconds return_spread{2'000};
-    /// After that long without new evidence a leaving upstream that the
-    /// platform never registered anew is probed.
-    std::chrono::milliseconds leaving_hold{300'000};
+    /// A recovery reported by peers takes effect after a random delay of up to
+    /// this, so that not all instances send to the upstream at once.
+    std::chrono::milliseconds recovery_jitter{2'000};
+    /// A leaving upstream that was not registered again is probed after this
+    /// time without a new report that it is leaving.
+    std::chrono::milliseconds leaving_timeout{300'000};
 };
 
-/// Judges upstreams by what traffic saw, what peers report and what the
-/// platform's list says. Not thread safe; deterministic but for the random
-/// source.
+/// Determines the condition of upstreams from observations of traffic, reports
+/// of peers and the platform's list. Not thread safe; deterministic apart from
+/// the random source.
 class upstream_health {
 public:
-    /// Whether this instance is the one of its zone that probes the upstream.
-    using prober_test = std::function<bool(const upstream_key&)>;
+    /// Returns whether this instance is the one in its zone that probes the
+    /// upstream.
+    using prober_predicate = std::function<bool(const upstream_key&)>;
 
     /// The chart must pass `check_chart`. The chart and the random source
     /// must outlive the object.
@@ -53,76 +59,84 @@
 
     void on_configuration(const configuration_view& view);
 
-    /// What traffic saw. `list_revision` is the newest revision known.
+    /// Handles an observation of traffic. `list_revision` is the newest known
+    /// revision of the platform's list.
     void observe(const upstream_observation& observation,
                  store_revision list_revision, steady_time now,
                  command_list& out);
 
-    /// A record from another instance.
+    /// Merges a record from another instance.
     void merge(const upstream_record& record, steady_time now,
                command_list& out);
 
-    /// An entry of the platform's list.
+    /// Handles an entry of the platform's list. `created` and `modified` are
+    /// the store revisions of its creation and last change.
     void on_listed(const upstream_key& key, store_revision created,
                    store_revision modified, bool is_leaving, steady_time now,
                    command_list& out);
 
-    void tick(steady_time now, const prober_test& is_prober, command_list& out);
+    void tick(steady_time now, const prober_predicate& is_prober,
+              command_list& out);
 
-    /// Upstreams whose record others should hear of, since the last call.
-    [[nodiscard]] std::vector<upstream_key> take_news();
+    /// Returns the upstreams whose records changed since the last call and are
+    /// to be gossiped.
+    [[nodiscard]] std::vector<upstream_key> take_updates();
 
-    /// Every upstream that is not simply serving. Immutable.
+    /// Returns the upstreams whose condition is not serving. Immutable.
     [[nodiscard]] std::shared_ptr<const upstream_state_map> states();
 
     [[nodiscard]] const upstream_registry& registry() const {
         return registry_;
     }
-    /// Groups (service and zone) that look cut off from this instance.
-    [[nodiscard]] std::size_t cut_groups() const { return cuts_.size(); }
+    /// Number of groups (service and zone) that appear cut off from this
+    /// instance.
+    [[nodiscard]] std::size_t cut_off_group_count() const {
+        return cut_off_groups_.size();
+    }
 
 private:
-    struct upstream_entry {
-        explicit upstream_entry(const state_chart& chart)
-            : life(chart) {}
+    struct tracked_upstream {
+        explicit tracked_upstream(const state_chart& chart)
+            : lifecycle(chart) {}
 
-        chart_position life;
+        chart_position lifecycle;
         std::uint32_t failure_score = 0;
         steady_time last_failure{};
         steady_time last_answer{};
-        /// When to tell others of a suspicion; the epoch if there is none.
+        /// When to announce a suspicion to peers; the epoch if none is pending.
         steady_time announce_at{};
         steady_time probe_at{};
         steady_time probe_ends_at{};
-        /// When a recovery heard of takes effect; the epoch if there is none.
+        /// When a recovery reported by peers takes effect; the epoch if none is
+        /// pending.
         steady_time recover_at{};
-        steady_time left_at{};
-        store_revision left_through = 0;
+        steady_time leave_reported_at{};
+        store_revision known_leaving_through = 0;
     };
     using group_key = std::pair<service_name, availability_zone>;
 
-    upstream_entry& obtain(const upstream_key& key);
+    tracked_upstream& find_or_add(const upstream_key& key);
     void note_failure(const upstream_key& key, std::uint32_t weight,
                       steady_time now, command_list& out);
     void note_answer(const upstream_key& key, steady_time now,
                      command_list& out);
-    void note_said_leaving(const upstream_key& key,
-                           store_revision list_revision, steady_time now,
-                           command_list& out);
-    void follow_registry(const upstream_key& key, steady_time now,
-                         command_list& out);
-    void follow_reports(const upstream_key& key, upstream_entry& entry,
-                        steady_time now, command_list& out);
-    void tick_entry(const upstream_key& key, upstream_entry& entry,
-                    steady_time now, const prober_test& is_prober,
+    void note_reported_leaving(const upstream_key& key,
+                               store_revision list_revision, steady_time now,
+                               command_list& out);
+    void apply_registry(const upstream_key& key, steady_time now,
+                        command_list& out);
+    void apply_reports(const upstream_key& key, tracked_upstream& entry,
+                       steady_time now, command_list& out);
+    void tick_entry(const upstream_key& key, tracked_upstream& entry,
+                    steady_time now, const prober_predicate& is_prober,
                     command_list& out);
-    void tick_probe(const upstream_key& key, upstream_entry& entry,
-                    steady_time now, const prober_test& is_prober);
-    void judge_cuts(command_list& out);
-    [[nodiscard]] bool is_cut(const upstream_key& key) const;
-    bool fire(const upstream_key& key, upstream_entry& entry,
+    void tick_probe(const upstream_key& key, tracked_upstream& entry,
+                    steady_time now, const prober_predicate& is_prober);
+    void update_cut_off_groups(command_list& out);
+    [[nodiscard]] bool is_group_cut_off(const upstream_key& key) const;
+    bool fire(const upstream_key& key, tracked_upstream& entry,
               std::string_view event, command_list& out);
-    void suspect(const upstream_key& key, upstream_entry& entry,
+    void suspect(const upstream_key& key, tracked_upstream& entry,
                  steady_time now, command_list& out);
     [[nodiscard]] steady_time next_probe(steady_time now);
 
@@ -132,9 +146,9 @@
     upstream_registry registry_;
     std::map<upstream_key, availability_zone> configured_;
     std::map<group_key, std::uint32_t> group_sizes_;
-    std::map<upstream_key, upstream_entry> entries_;
-    std::set<group_key> cuts_;
-    std::set<upstream_key> news_;
+    std::map<upstream_key, tracked_upstream> entries_;
+    std::set<group_key> cut_off_groups_;
+    std::set<upstream_key> updated_keys_;
     std::shared_ptr<const upstream_state_map> states_;
 };
 
--- a/servers/membership/upstream_registry.cpp
+++ b/servers/membership/upstream_registry.cpp
@@ -14,7 +14,7 @@
     return {record.service, record.upstream};
 }
 
-bool raise(store_revision& held, store_revision candidate) {
+bool raise_revision(store_revision& held, store_revision candidate) {
     if (candidate <= held) {
         return false;
     }
@@ -38,7 +38,7 @@
             return false;
         }
         held.push_back(report);
-        // One order everywhere, for the digest.
+        // The same order on all instances, because the digest depends on it.
         std::sort(held.begin(), held.end(),
                   [](const auto& a, const auto& b) { return a.zone < b.zone; });
         return true;
@@ -78,7 +78,7 @@
     return nullptr;
 }
 
-upstream_record* upstream_registry::obtain(const upstream_key& key) {
+upstream_record* upstream_registry::find_or_add(const upstream_key& key) {
     const auto found = records_.find(key);
     if (found != records_.end()) {
         return &found->second;
@@ -93,36 +93,39 @@
 }
 
 bool upstream_registry::merge(const upstream_record& record) {
-    upstream_record* held = obtain(key_of(record));
+    upstream_record* held = find_or_add(key_of(record));
     if (held == nullptr) {
         return false;
     }
-    bool is_news = raise(held->leaving_through, record.leaving_through);
-    is_news = raise(held->registered, record.registered) || is_news;
+    bool is_updated =
+        raise_revision(held->leaving_through, record.leaving_through);
+    is_updated =
+        raise_revision(held->registered, record.registered) || is_updated;
     for (const zone_report& report : record.reports) {
-        is_news = merge_report(held->reports, report) || is_news;
+        is_updated = merge_report(held->reports, report) || is_updated;
     }
-    return is_news;
+    return is_updated;
 }
 
 bool upstream_registry::note_leaving(const upstream_key& key,
                                      store_revision through) {
-    upstream_record* held = obtain(key);
-    // Revisions begin at 1, so that 0 says "not leaving".
+    upstream_record* held = find_or_add(key);
+    // Store revisions start at 1; 0 means not leaving.
     return held != nullptr &&
-           raise(held->leaving_through, std::max<store_revision>(through, 1));
+           raise_revision(held->leaving_through,
+                          std::max<store_revision>(through, 1));
 }
 
 bool upstream_registry::note_registered(const upstream_key& key,
                                         store_revision created) {
-    upstream_record* held = obtain(key);
-    return held != nullptr && raise(held->registered, created);
+    upstream_record* held = find_or_add(key);
+    return held != nullptr && raise_revision(held->registered, created);
 }
 
 bool upstream_registry::note_report(const upstream_key& key,
                                     const availability_zone& zone,
                                     bool is_suspected) {
-    upstream_record* held = obtain(key);
+    upstream_record* held = find_or_add(key);
     if (held == nullptr) {
         return false;
     }
--- a/servers/membership/upstream_registry.hpp
+++ b/servers/membership/upstream_registry.hpp
@@ -11,47 +11,51 @@
 
 namespace savorydock {
 
-/// The mergeable records of all upstreams that anything is known of. Records
-/// only grow, so every order of messages ends in the same state. Not thread
-/// safe.
+/// The mergeable records of upstreams. Their values only increase, so messages
+/// lead to the same state in any order. Not thread safe.
 class upstream_registry {
 public:
     static constexpr std::size_t max_records = 16'384;
     static constexpr std::size_t bucket_count = 32;
 
-    /// Merges a record; returns whether it held news.
+    /// Merges a record; returns whether anything changed.
     bool merge(const upstream_record& record);
 
-    /// Notes that all registrations up to revision `through` leave.
+    /// Notes that all registrations up to revision `through` are leaving;
+    /// returns whether the record changed.
     bool note_leaving(const upstream_key& key, store_revision through);
 
-    /// Notes a registration.
+    /// Notes a registration at store revision `created`; returns whether the
+    /// record changed.
     bool note_registered(const upstream_key& key, store_revision created);
 
-    /// Notes newer evidence of one zone.
+    /// Notes a newer observation of one zone; returns whether the record
+    /// changed. A first report without suspicion changes nothing.
     bool note_report(const upstream_key& key, const availability_zone& zone,
                      bool is_suspected);
 
-    /// Keeps the records of these upstreams only.
+    /// Removes the records of all upstreams that are not in `keys`.
     void retain(const std::set<upstream_key>& keys);
 
     [[nodiscard]] const upstream_record* find(const upstream_key& key) const;
     [[nodiscard]] bool is_leaving(const upstream_key& key) const;
 
     [[nodiscard]] std::vector<std::uint64_t> digest() const;
-    /// Records whose bucket differs between two digests, at most `limit`.
+    /// Returns at most `limit` records in buckets that differ between the two
+    /// digests.
     [[nodiscard]] std::vector<upstream_record>
     differing(const std::vector<std::uint64_t>& mine,
               const std::vector<std::uint64_t>& theirs,
               std::size_t limit) const;
 
 private:
-    upstream_record* obtain(const upstream_key& key);
+    /// Returns null if the record is missing and the registry is full.
+    upstream_record* find_or_add(const upstream_key& key);
 
     std::map<upstream_key, upstream_record> records_;
 };
 
-/// The report of a zone in a record, or null.
+/// Returns the report of a zone in a record, or null.
 [[nodiscard]] const zone_report* find_report(const upstream_record& record,
                                              const availability_zone& zone);
 
--- a/tests/servers/membership/membership_benchmark.cpp
+++ b/tests/servers/membership/membership_benchmark.cpp
@@ -1,6 +1,6 @@
-// Slopes of control cost by the number of instances, in virtual time. One
-// iteration is one second of the whole fleet; times are per fleet, so the
-// counters give them per instance.
+// Cost of membership by the number of instances, in virtual time. One iteration
+// simulates one second of the whole fleet. The times are those of the whole
+// fleet; the counters give the cost per instance.
 
 #include "core/wire_codec.hpp"
 #include "servers/configuration/configuration_view.hpp"
@@ -15,8 +15,8 @@
 
 using namespace std::chrono_literals;
 
-/// Bytes of an envelope and of HTTP/2 framing around a message of this
-/// topic, both ways.
+/// Bytes that the envelope and HTTP/2 framing add to a message of this topic,
+/// in both directions.
 constexpr double framing_bytes = 150;
 constexpr std::size_t instances_per_zone = 127;
 
@@ -59,7 +59,7 @@
                                               .knows_incarnations = true});
     fleet.configure(make_view(10));
     fleet.run(30s);
-    const bool has_met = fleet.agrees();
+    const bool has_converged = fleet.agrees();
     const membership_counters before = sum(fleet);
     for (auto _ : state) {
         fleet.run(1s);
@@ -69,7 +69,7 @@
         static_cast<double>(state.iterations()) * static_cast<double>(size);
     const double messages =
         static_cast<double>(after.messages_out - before.messages_out);
-    state.counters["met"] = has_met ? 1 : 0;
+    state.counters["met"] = has_converged ? 1 : 0;
     state.counters["messages/s"] = messages / node_seconds;
     state.counters["body_B/s"] =
         static_cast<double>(after.bytes_out - before.bytes_out) / node_seconds;
@@ -91,8 +91,8 @@
     ->Unit(benchmark::kMillisecond)
     ->Iterations(10);
 
-/// The time until all know of a leaving upstream and of a dead instance,
-/// by the number of instances and the percentage of messages lost.
+/// Time until all instances know of a leaving upstream and of a dead instance,
+/// by the number of instances and the percentage of lost messages.
 void spread_of_news(benchmark::State& state) {
     const auto size = static_cast<std::size_t>(state.range(0));
     membership_fleet fleet(
@@ -106,16 +106,16 @@
     fleet.configure(make_view(10));
     fleet.run(20s);
     const upstream_key key{service_name("chat"), upstream_id("engine-0")};
-    const auto all_know = [&](bool home_only) {
+    const auto all_know = [&](bool own_zone_only) {
         return std::all_of(
             fleet.nodes.begin(), fleet.nodes.end(), [&](const auto& each) {
-                return (home_only && each.zone != fleet.nodes[0].zone) ||
+                return (own_zone_only && each.zone != fleet.nodes[0].zone) ||
                        each.server->upstream_states()->contains(key);
             });
     };
-    const auto is_seen = [&](std::size_t gone) {
+    const auto is_seen = [&](std::size_t stopped) {
         for (std::size_t from = 0; from < size; ++from) {
-            if (from != gone && fleet.sees(from, gone)) {
+            if (from != stopped && fleet.sees(from, stopped)) {
                 return true;
             }
         }
@@ -126,7 +126,7 @@
         fleet.observe(
             0, {key.service, key.upstream, upstream_evidence::said_leaving});
         fleet.run(60s, [&] { return all_know(true); });
-        const std::chrono::duration<double> home = fleet.now - start;
+        const std::chrono::duration<double> in_own_zone = fleet.now - start;
         fleet.run(60s, [&] { return all_know(false); });
         const std::chrono::duration<double> everywhere = fleet.now - start;
         const membership_counters before = sum(fleet);
@@ -136,7 +136,7 @@
             fleet.run(180s, [&] { return !is_seen(size - 1); });
         const std::chrono::duration<double> dead = fleet.now - start;
         const membership_counters after = sum(fleet);
-        state.counters["leaving_home_s"] = home.count();
+        state.counters["leaving_home_s"] = in_own_zone.count();
         state.counters["leaving_all_s"] = everywhere.count();
         state.counters["dead_all_s"] = is_known ? dead.count() : -1;
         state.counters["body_B/s_meanwhile"] =
@@ -150,8 +150,8 @@
     ->Unit(benchmark::kMillisecond)
     ->Iterations(1);
 
-/// Memory of one instance that knows 1,900 peers and 10,000 upstreams, each
-/// with a leave and reports of two zones, the worst that is kept.
+/// Memory of one instance that knows 1,900 peers and 10,000 upstreams. Each
+/// upstream has a leaving revision, a registration and reports of two zones.
 void known_fleet_memory(benchmark::State& state) {
     seeded_random_source random(1);
     for (auto _ : state) {
--- a/tests/servers/membership/membership_fleet.hpp
+++ b/tests/servers/membership/membership_fleet.hpp
@@ -14,11 +14,11 @@
 
 namespace savorydock {
 
-/// What happens to messages on their way.
+/// Faults that messages are subject to in transit.
 struct message_faults {
     std::uint32_t lost_percent = 0;
-    std::uint32_t doubled_percent = 0;
-    /// Messages take a time between one and that many milliseconds.
+    std::uint32_t duplicated_percent = 0;
+    /// Messages are delayed by a random time from 1 ms to this.
     std::uint32_t max_delay_ms = 2;
 };
 
@@ -27,14 +27,15 @@
     std::size_t zones = 3;
     std::uint64_t seed = 1;
     message_faults faults;
-    /// Every instance knows these from its settings.
+    /// Number of instances that every instance knows from its settings.
     std::size_t seeds = 2;
-    /// The settings know the seeds as they are: a fleet that has met.
+    /// Whether the settings hold the seeds' actual incarnations, as if the
+    /// instances had already exchanged messages.
     bool knows_incarnations = false;
 };
 
-/// One service with upstreams engine-0, engine-1 and so on, in turn in zones
-/// zone-0 to zone-2.
+/// One service with the upstreams engine-0, engine-1 and so on, distributed
+/// round-robin over zone-0 to zone-2.
 inline std::shared_ptr<const configuration_view>
 make_view(std::size_t upstreams) {
     auto document = std::make_shared<service_document>();
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Starts an instance anew, with nothing but its settings.
+    /// Starts or restarts an instance, which then knows only its settings.
     void start(std::size_t at) {
         node& started = nodes[at];
         started.is_running = true;
@@ -114,10 +115,11 @@
     void observe(std::size_t at, const upstream_observation& observation) {
         command_list out;
         nodes[at].server->on_observation(observation, now, out);
-        carry_out(at, out);
+        execute(at, out);
     }
 
-    /// Runs for a while; ends early once `until` holds.
+    /// Advances the virtual time by `time`; stops early once `until` holds.
+    /// Returns whether `until` holds at the end.
     bool run(std::chrono::milliseconds time,
              const std::function<bool()>& until = {}) {
         const steady_time end = now + time;
@@ -132,15 +134,15 @@
         return !until || until();
     }
 
-    /// Whether `from` holds `to` to be living.
+    /// Whether `from` considers `to` to be living.
     [[nodiscard]] bool sees(std::size_t from, std::size_t to) const {
         const auto record =
             nodes[from].server->table().record_of(nodes[to].name);
         return record && is_living(record->condition);
     }
 
-    /// Whether every running instance of one side holds exactly the running
-    /// ones of its side to be living.
+    /// Whether every running instance considers exactly those instances living
+    /// that are running and reachable from it.
     [[nodiscard]] bool agrees() const {
         for (std::size_t from = 0; from < nodes.size(); ++from) {
             for (std::size_t to = 0; to < nodes.size(); ++to) {
@@ -166,17 +168,20 @@
     }
 
     std::vector<node> nodes;
-    /// Pairs of instances that can't reach each other.
+    /// Returns whether messages from the first instance to the second are
+    /// lost.
     std::function<bool(std::size_t, std::size_t)> cut;
     steady_time now = steady_time{} + std::chrono::hours(1);
     message_faults faults() const { return options_.faults; }
 
 private:
     static constexpr std::chrono::milliseconds step{50};
-    /// Each instance ticks every fourth step, not all at once.
+    /// Each instance ticks in every fourth step; ticks are spread over the
+    /// steps.
     static constexpr std::size_t tick_steps = 4;
 
-    /// Of the life that is the `starts`-th start in the fleet.
+    /// Incarnation of an instance whose start was preceded by `starts` others
+    /// in the fleet.
     static std::uint64_t first_incarnation(std::size_t starts) {
         return 1'001 + starts;
     }
@@ -191,12 +196,13 @@
         return cut && cut(from, to);
     }
 
-    void post(const peer_message& message, std::size_t from, std::size_t to) {
+    void send(const peer_message& message, std::size_t from, std::size_t to) {
         const message_faults& faults = options_.faults;
         if (is_cut(from, to) || random_.below(100) < faults.lost_percent) {
             return;
         }
-        const auto copies = random_.below(100) < faults.doubled_percent ? 2 : 1;
+        const auto copies =
+            random_.below(100) < faults.duplicated_percent ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
             const std::chrono::milliseconds delay(
                 1 + random_.below(faults.max_delay_ms));
@@ -204,12 +210,12 @@
         }
     }
 
-    void carry_out(std::size_t at, const command_list& out) {
+    void execute(std::size_t at, const command_list& out) {
         for (const control_command& command : out) {
             if (const auto* message = std::get_if<peer_message>(&command)) {
                 const auto to = index_.find(message->to);
                 if (to != index_.end()) {
-                    post(*message, at, to->second);
+                    send(*message, at, to->second);
                 }
             } else if (const auto* log = std::get_if<log_command>(&command)) {
                 nodes[at].logs.push_back(*log);
@@ -224,7 +230,7 @@
             if (nodes[at].is_running) {
                 command_list out;
                 nodes[at].server->on_peer_message(taken.mapped(), now, out);
-                carry_out(at, out);
+                execute(at, out);
             }
         }
     }
@@ -236,7 +242,7 @@
             if (nodes[at].is_running) {
                 command_list out;
                 nodes[at].server->on_tick(now, out);
-                carry_out(at, out);
+                execute(at, out);
             }
         }
     }
--- a/tests/servers/membership/membership_server_test.cpp
+++ b/tests/servers/membership/membership_server_test.cpp
@@ -20,7 +20,7 @@
     return {service_name("chat"), upstream_id("engine-" + std::to_string(at))};
 }
 
-upstream_observation saw(std::size_t at, upstream_evidence evidence) {
+upstream_observation observed(std::size_t at, upstream_evidence evidence) {
     return {engine(at).service, engine(at).upstream, evidence};
 }
 
@@ -68,7 +68,7 @@
     EXPECT_TRUE(fleet_.agrees());
 }
 
-TEST_P(membership_fault_test, cut_sides_part_and_join_again) {
+TEST_P(membership_fault_test, partitioned_sides_separate_and_rejoin) {
     fleet_.cut = [](std::size_t from, std::size_t to) {
         return (from % 3 == 0) != (to % 3 == 0);
     };
@@ -84,7 +84,7 @@
 }
 
 TEST_P(membership_fault_test, leaving_upstream_is_known_in_time) {
-    fleet_.observe(5, saw(2, upstream_evidence::said_leaving));
+    fleet_.observe(5, observed(2, upstream_evidence::said_leaving));
     const auto knows = [&](std::size_t node) {
         return condition_at(fleet_, node, 2) == upstream_condition::leaving;
     };
@@ -96,8 +96,8 @@
     for (std::size_t node = 0; node < fleet_.nodes.size(); ++node) {
         EXPECT_TRUE(knows(node)) << node;
     }
-    // Answers to requests that began before are no reason to return.
-    fleet_.observe(6, saw(2, upstream_evidence::answered));
+    // Answers to requests sent earlier do not end the leaving state.
+    fleet_.observe(6, observed(2, upstream_evidence::answered));
     fleet_.run(30s);
     for (std::size_t node = 0; node < fleet_.nodes.size(); ++node) {
         EXPECT_TRUE(knows(node)) << node;
@@ -106,9 +106,9 @@
 
 TEST_P(membership_fault_test, suspected_upstream_returns_once_it_answers) {
     for (int i = 0; i < 2; ++i) {
-        fleet_.observe(3, saw(0, upstream_evidence::refused_connection));
+        fleet_.observe(3, observed(0, upstream_evidence::refused_connection));
     }
-    const auto is_suspected_at_home = [&] {
+    const auto is_suspected_in_own_zone = [&] {
         // Nodes 0, 3, 6 and 9 share the upstream's zone.
         for (const std::size_t node : {0U, 3U, 6U, 9U}) {
             if (condition_at(fleet_, node, 0) !=
@@ -118,7 +118,7 @@
         }
         return true;
     };
-    ASSERT_TRUE(fleet_.run(6s, is_suspected_at_home));
+    ASSERT_TRUE(fleet_.run(6s, is_suspected_in_own_zone));
     const auto is_serving_everywhere = [&] {
         for (std::size_t node = 0; node < fleet_.nodes.size(); ++node) {
             if (condition_at(fleet_, node, 0) != upstream_condition::serving) {
@@ -127,7 +127,7 @@
         }
         return true;
     };
-    fleet_.observe(6, saw(0, upstream_evidence::answered));
+    fleet_.observe(6, observed(0, upstream_evidence::answered));
     EXPECT_TRUE(fleet_.run(20s, is_serving_everywhere));
     fleet_.run(10s);
     EXPECT_TRUE(is_serving_everywhere());
@@ -137,11 +137,11 @@
     faults, membership_fault_test,
     testing::Values(fault_case{"none", {}},
                     fault_case{"lossy", {.lost_percent = 20}},
-                    fault_case{"doubled", {.doubled_percent = 50}},
+                    fault_case{"duplicated", {.duplicated_percent = 50}},
                     fault_case{"late_and_reordered", {.max_delay_ms = 300}},
                     fault_case{"all",
                                {.lost_percent = 15,
-                                .doubled_percent = 20,
+                                .duplicated_percent = 20,
                                 .max_delay_ms = 200}}),
     [](const auto& tested) { return std::string(tested.param.name); });
 
@@ -188,14 +188,14 @@
 
     steady_time now_ = steady_time{} + 1h;
     seeded_random_source random_{3};
-    membership_server server_{
-        {.self = {.name = instance_id("entry-0"),
-                  .zone = availability_zone("zone-0"),
-                  .address = {"127.0.0.1", 1},
-                  .incarnation = 5},
-         .health = {.zone = availability_zone("zone-0"), .leaving_hold = 24h}},
-        upstream_chart(),
-        random_};
+    membership_server server_{{.self = {.name = instance_id("entry-0"),
+                                        .zone = availability_zone("zone-0"),
+                                        .address = {"127.0.0.1", 1},
+                                        .incarnation = 5},
+                               .health = {.zone = availability_zone("zone-0"),
+                                          .leaving_timeout = 24h}},
+                              upstream_chart(),
+                              random_};
     command_list out_;
 };
 
@@ -210,8 +210,10 @@
     EXPECT_EQ(condition(0), upstream_condition::serving);
 }
 
-TEST_F(membership_server_test, own_word_of_leaving_outweighs_any_registration) {
-    // Another instance knows of a registration that this one's list lacks.
+TEST_F(membership_server_test,
+       upstreams_own_leaving_report_overrides_any_registration) {
+    // Another instance knows a registration that this one has not read from
+    // the platform's list.
     const upstream_record record{.service = engine(0).service,
                                  .upstream = engine(0).upstream,
                                  .leaving_through = 40,
@@ -221,18 +223,21 @@
          .body = wire::encode(membership_message{.upstreams = {record}})},
         now_, out_);
     EXPECT_EQ(condition(0), upstream_condition::serving);
-    server_.on_observation(saw(0, upstream_evidence::said_leaving), now_, out_);
+    server_.on_observation(observed(0, upstream_evidence::said_leaving), now_,
+                           out_);
     EXPECT_EQ(condition(0), upstream_condition::leaving);
 }
 
-TEST_F(membership_server_test, failure_of_most_upstreams_is_taken_for_a_cut) {
+TEST_F(membership_server_test,
+       failure_of_most_upstreams_of_a_zone_is_treated_as_partition) {
     const auto fail = [&](std::size_t at) {
         for (int i = 0; i < 2; ++i) {
             server_.on_observation(
-                saw(at, upstream_evidence::refused_connection), now_, out_);
+                observed(at, upstream_evidence::refused_connection), now_,
+                out_);
         }
     };
-    // Engines 1, 4, 7 and 10 are those of zone-1.
+    // Engines 1, 4, 7 and 10 are in zone-1.
     for (const std::size_t at : {1U, 4U, 7U}) {
         fail(at);
     }
@@ -245,20 +250,22 @@
         const auto* record = server_.health().registry().find(engine(at));
         EXPECT_TRUE(record == nullptr || record->reports.empty()) << at;
     }
-    server_.on_observation(saw(1, upstream_evidence::answered), now_, out_);
-    server_.on_observation(saw(4, upstream_evidence::answered), now_, out_);
+    server_.on_observation(observed(1, upstream_evidence::answered), now_,
+                           out_);
+    server_.on_observation(observed(4, upstream_evidence::answered), now_,
+                           out_);
     server_.on_tick(now_ + 200ms, out_);
     EXPECT_TRUE(has_logged(log_event::zone_cut_ended));
 }
 
-TEST_F(membership_server_test, foreign_bytes_are_refused_and_logged) {
+TEST_F(membership_server_test, undecodable_message_is_refused_and_logged) {
     server_.on_peer_message({.from = instance_id("x"), .body = "\xff\x01"},
                             now_, out_);
     EXPECT_TRUE(has_logged(log_event::peer_frame_refused));
     EXPECT_EQ(server_.counters().messages_refused, 1U);
 }
 
-TEST_F(membership_server_test, word_of_its_own_death_is_refuted) {
+TEST_F(membership_server_test, report_of_own_death_is_refuted) {
     member_record wrong = server_.table().self();
     wrong.condition = member_condition::dead;
     server_.on_peer_message(
@@ -269,29 +276,31 @@
     EXPECT_EQ(server_.table().self().condition, member_condition::alive);
 }
 
-TEST_F(membership_server_test, word_of_death_leaves_time_to_refute) {
+TEST_F(membership_server_test,
+       first_report_of_death_only_makes_member_suspect) {
     member_record other{.name = instance_id("entry-1"),
                         .zone = availability_zone("zone-0"),
                         .address = {"127.0.0.1", 2},
                         .incarnation = 3};
-    const auto hear = [&] {
+    const auto merged_condition = [&] {
         server_.on_peer_message(
             {.from = instance_id("x"),
              .body = wire::encode(membership_message{.members = {other}})},
             now_, out_);
         return server_.table().record_of(other.name)->condition;
     };
-    EXPECT_EQ(hear(), member_condition::alive);
+    EXPECT_EQ(merged_condition(), member_condition::alive);
     other.condition = member_condition::dead;
-    EXPECT_EQ(hear(), member_condition::suspect);
-    EXPECT_EQ(hear(), member_condition::dead);
+    EXPECT_EQ(merged_condition(), member_condition::suspect);
+    EXPECT_EQ(merged_condition(), member_condition::dead);
     other.condition = member_condition::alive;
-    EXPECT_EQ(hear(), member_condition::dead);
+    EXPECT_EQ(merged_condition(), member_condition::dead);
     other.incarnation = 4;
-    EXPECT_EQ(hear(), member_condition::alive);
+    EXPECT_EQ(merged_condition(), member_condition::alive);
 }
 
-RC_GTEST_PROP(upstream_registry_test, any_order_of_merges_ends_alike, ()) {
+RC_GTEST_PROP(upstream_registry_test, any_merge_order_gives_the_same_state,
+              ()) {
     const auto records =
         *rc::gen::container<std::vector<upstream_record>>(rc::gen::apply(
             [](std::uint64_t leaving, std::uint64_t registered,
@@ -328,7 +337,8 @@
         {.size = 9,
          .seed = seed,
          .faults = {.lost_percent = *rc::gen::inRange<std::uint32_t>(0, 25),
-                    .doubled_percent = *rc::gen::inRange<std::uint32_t>(0, 30),
+                    .duplicated_percent =
+                        *rc::gen::inRange<std::uint32_t>(0, 30),
                     .max_delay_ms = *rc::gen::inRange<std::uint32_t>(1, 250)}});
     fleet.run(std::chrono::milliseconds(*rc::gen::inRange(0, 20'000)));
     fleet.cut = [side](std::size_t from, std::size_t to) {
