--- a/servers/fleet/upstream_pool.cpp
+++ b/servers/fleet/upstream_pool.cpp
@@ -103,7 +103,7 @@
         break;
     }
     case call_outcome::full:
-        known.backoff_until = now + options_.full_backoff;
+        known.backoff_until = now + options_.backoff_when_full;
         break;
     case call_outcome::failed: {
         const auto factor =
--- a/servers/fleet/upstream_pool.hpp
+++ b/servers/fleet/upstream_pool.hpp
@@ -24,7 +24,7 @@
     std::chrono::milliseconds initial_backoff{300};
     std::chrono::milliseconds max_backoff{5'000};
     /// Backoff of an upstream that was full; about the duration of a call.
-    std::chrono::milliseconds full_backoff{60};
+    std::chrono::milliseconds backoff_when_full{60};
     /// Expected duration of a call until one has been measured.
     std::chrono::milliseconds default_call_time{50};
 };
--- a/servers/membership/failure_detector.cpp
+++ b/servers/membership/failure_detector.cpp
@@ -103,9 +103,9 @@
     const double size = std::log10(static_cast<double>(table_.living_count()));
     const auto limit = options_.suspicion_timeout * std::max(1.0, size);
     std::vector<instance_id> overdue;
-    for (const auto& [name, held] : table_.members()) {
-        if (held.record.condition == member_condition::suspect &&
-            now - held.changed_at > limit) {
+    for (const auto& [name, stored] : table_.members()) {
+        if (stored.record.condition == member_condition::suspect &&
+            now - stored.changed_at > limit) {
             overdue.push_back(name);
         }
     }
--- a/servers/membership/member_table.cpp
+++ b/servers/membership/member_table.cpp
@@ -49,21 +49,21 @@
         return merge_result::updated;
     }
     member_record next = record;
-    member_record& held = found->second.record;
+    member_record& stored = found->second.record;
     if (next.condition == member_condition::dead &&
-        held.condition == member_condition::alive) {
+        stored.condition == member_condition::alive) {
         next.condition = member_condition::suspect;
     }
-    if (!is_newer(next, held)) {
+    if (!is_newer(next, stored)) {
         return merge_result::unchanged;
     }
     if (!has_address(next)) {
-        next.zone = held.zone;
-        next.address = held.address;
+        next.zone = stored.zone;
+        next.address = stored.address;
     }
-    is_list_stale_ = is_list_stale_ || next.zone != held.zone ||
-                     is_living(next.condition) != is_living(held.condition);
-    held = std::move(next);
+    is_list_stale_ = is_list_stale_ || next.zone != stored.zone ||
+                     is_living(next.condition) != is_living(stored.condition);
+    stored = std::move(next);
     found->second.changed_at = now;
     return merge_result::updated;
 }
@@ -117,9 +117,9 @@
 void member_table::remove_expired(steady_time now,
                                   std::chrono::milliseconds retention) {
     const auto erased = std::erase_if(members_, [&](const auto& entry) {
-        const member& held = entry.second;
-        return !held.is_seed && !is_living(held.record.condition) &&
-               now - held.changed_at > retention;
+        const member& stored = entry.second;
+        return !stored.is_seed && !is_living(stored.record.condition) &&
+               now - stored.changed_at > retention;
     });
     is_list_stale_ = is_list_stale_ || erased > 0;
 }
@@ -146,10 +146,10 @@
     own_zone_.clear();
     other_zones_.clear();
     not_living_.clear();
-    for (const auto& [name, held] : members_) {
-        if (!is_living(held.record.condition)) {
+    for (const auto& [name, stored] : members_) {
+        if (!is_living(stored.record.condition)) {
             not_living_.push_back(name);
-        } else if (held.record.zone == self_.zone) {
+        } else if (stored.record.zone == self_.zone) {
             own_zone_.push_back(name);
         } else {
             other_zones_.push_back(name);
@@ -178,8 +178,8 @@
 
 missing_members member_table::count_missing() const {
     missing_members counted;
-    for (const auto& [name, held] : members_) {
-        const member_condition condition = held.record.condition;
+    for (const auto& [name, stored] : members_) {
+        const member_condition condition = stored.record.condition;
         const bool is_missing = condition == member_condition::suspect ||
                                 condition == member_condition::dead;
         counted.missing += is_missing ? 1 : 0;
@@ -199,9 +199,9 @@
             stable_hash(record.name.text(), record.incarnation);
     };
     add(self_);
-    for (const auto& [name, held] : members_) {
-        if (is_living(held.record.condition)) {
-            add(held.record);
+    for (const auto& [name, stored] : members_) {
+        if (is_living(stored.record.condition)) {
+            add(stored.record);
         }
     }
     return buckets;
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -341,8 +341,8 @@
 
 std::vector<member_record> membership_server::instances() const {
     std::vector<member_record> all{table_.self()};
-    for (const auto& [name, held] : table_.members()) {
-        all.push_back(held.record);
+    for (const auto& [name, stored] : table_.members()) {
+        all.push_back(stored.record);
     }
     return all;
 }
--- a/servers/membership/upstream_registry.cpp
+++ b/servers/membership/upstream_registry.cpp
@@ -14,11 +14,11 @@
     return {record.service, record.upstream};
 }
 
-bool raise_revision(store_revision& held, store_revision candidate) {
-    if (candidate <= held) {
+bool raise_revision(store_revision& stored, store_revision candidate) {
+    if (candidate <= stored) {
         return false;
     }
-    held = candidate;
+    stored = candidate;
     return true;
 }
 
@@ -28,18 +28,17 @@
             right.is_suspected);
 }
 
-bool merge_report(std::vector<zone_report>& held, const zone_report& report) {
-    const auto found =
-        std::find_if(held.begin(), held.end(), [&](const zone_report& entry) {
-            return entry.zone == report.zone;
-        });
-    if (found == held.end()) {
-        if (held.size() >= max_reports || report.sequence == 0) {
+bool merge_report(std::vector<zone_report>& stored, const zone_report& report) {
+    const auto found = std::find_if(
+        stored.begin(), stored.end(),
+        [&](const zone_report& entry) { return entry.zone == report.zone; });
+    if (found == stored.end()) {
+        if (stored.size() >= max_reports || report.sequence == 0) {
             return false;
         }
-        held.push_back(report);
+        stored.push_back(report);
         // The same order on all instances, because the digest depends on it.
-        std::sort(held.begin(), held.end(),
+        std::sort(stored.begin(), stored.end(),
                   [](const auto& a, const auto& b) { return a.zone < b.zone; });
         return true;
     }
@@ -93,48 +92,48 @@
 }
 
 bool upstream_registry::merge(const upstream_record& record) {
-    upstream_record* held = find_or_add(key_of(record));
-    if (held == nullptr) {
+    upstream_record* stored = find_or_add(key_of(record));
+    if (stored == nullptr) {
         return false;
     }
     bool is_updated =
-        raise_revision(held->leaving_through, record.leaving_through);
+        raise_revision(stored->leaving_through, record.leaving_through);
     is_updated =
-        raise_revision(held->registered, record.registered) || is_updated;
+        raise_revision(stored->registered, record.registered) || is_updated;
     for (const zone_report& report : record.reports) {
-        is_updated = merge_report(held->reports, report) || is_updated;
+        is_updated = merge_report(stored->reports, report) || is_updated;
     }
     return is_updated;
 }
 
 bool upstream_registry::note_leaving(const upstream_key& key,
                                      store_revision through) {
-    upstream_record* held = find_or_add(key);
+    upstream_record* stored = find_or_add(key);
     // Store revisions start at 1; 0 means not leaving.
-    return held != nullptr &&
-           raise_revision(held->leaving_through,
+    return stored != nullptr &&
+           raise_revision(stored->leaving_through,
                           std::max<store_revision>(through, 1));
 }
 
 bool upstream_registry::note_registered(const upstream_key& key,
                                         store_revision created) {
-    upstream_record* held = find_or_add(key);
-    return held != nullptr && raise_revision(held->registered, created);
+    upstream_record* stored = find_or_add(key);
+    return stored != nullptr && raise_revision(stored->registered, created);
 }
 
 bool upstream_registry::note_report(const upstream_key& key,
                                     const availability_zone& zone,
                                     bool is_suspected) {
-    upstream_record* held = find_or_add(key);
-    if (held == nullptr) {
+    upstream_record* stored = find_or_add(key);
+    if (stored == nullptr) {
         return false;
     }
-    const zone_report* last = find_report(*held, zone);
+    const zone_report* last = find_report(*stored, zone);
     if (last == nullptr ? !is_suspected : last->is_suspected == is_suspected) {
         return false;
     }
     const std::uint64_t sequence = last == nullptr ? 1 : last->sequence + 1;
-    return merge_report(held->reports, {zone, sequence, is_suspected});
+    return merge_report(stored->reports, {zone, sequence, is_suspected});
 }
 
 void upstream_registry::retain(const std::set<upstream_key>& keys) {
