--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -45,9 +45,9 @@
     }
     call_guard(const call_guard&) = delete;
     call_guard& operator=(const call_guard&) = delete;
-    ~call_guard() { end(call_end::cancelled); }
+    ~call_guard() { end(call_outcome::cancelled); }
 
-    void end(call_end how) {
+    void end(call_outcome how) {
         if (has_ended_) {
             return;
         }
@@ -112,7 +112,7 @@
     if (call.route.kind != request_kind::idempotent || attempts_left <= 1) {
         return call.deadline;
     }
-    const auto typical = fleet_.pool.typical_time(upstream.id);
+    const auto typical = fleet_.pool.smoothed_call_time(upstream.id);
     const auto attempt_time =
         call.is_urgent
             ? std::max<std::chrono::microseconds>(
@@ -141,15 +141,15 @@
     auto answer = co_await client_.call(upstream.address, std::move(request),
                                         deadline, use);
     if (!answer) {
-        guard.end(call_end::failed);
+        guard.end(call_outcome::failed);
         const bool may_have_begun =
             classify(answer.reason().code) != result_class::not_run;
         co_return make_failed(may_have_begun, answer.reason());
     }
     const auto answer_marks = platform::decode_answer_marks(answer->headers);
     if (answer_marks.is_not_run || answer->status == status_misdirected) {
-        guard.end(answer->status == status_misdirected ? call_end::failed
-                                                       : call_end::full);
+        guard.end(answer->status == status_misdirected ? call_outcome::failed
+                                                       : call_outcome::full);
         co_return make_failed(
             false, failure{result_code::not_run_refused_by_upstream,
                            "status " + std::to_string(answer->status)});
@@ -160,7 +160,7 @@
         (answer_marks.stamp.empty() ||
          !answer->header("Content-Encoding").empty());
     if (!is_for_this_call || is_invalid_success) {
-        guard.end(call_end::failed);
+        guard.end(call_outcome::failed);
         co_return make_failed(
             true, failure{result_code::failed_by_upstream,
                           is_for_this_call
@@ -168,7 +168,7 @@
                                 "with a content encoding"
                               : "the answer belongs to another request"});
     }
-    guard.end(call_end::answered);
+    guard.end(call_outcome::answered);
     attempt_result result{.answer = std::move(*answer), .may_have_run = true};
     co_return result;
 }
