--- a/drivers/caller_http/admission_gate.hpp
+++ b/drivers/caller_http/admission_gate.hpp
@@ -2,7 +2,7 @@
 
 #include "core/outcome.hpp"
 #include "drivers/caller_http/caller_request.hpp"
-#include "servers/admission/shared_admission.hpp"
+#include "servers/admission/synchronized_admission_queue.hpp"
 #include "servers/routing/upstream_router.hpp"
 
 #include <boost/asio/awaitable.hpp>
@@ -58,7 +58,7 @@
             , admission(std::move(queue)) {}
 
         const store_revision revision;
-        shared_admission admission;
+        synchronized_admission_queue admission;
         std::mutex mutex;
         std::unordered_map<std::uint64_t, std::shared_ptr<waiter>> waiters;
     };
--- a/servers/admission/fair_share_queue.cpp
+++ b/servers/admission/fair_share_queue.cpp
@@ -5,25 +5,26 @@
 
 namespace savorydock {
 
-void fair_share_queue::declare(const caller_id& caller, std::uint32_t weight) {
-    lines_[caller].weight = weight;
+void fair_share_queue::set_weight(const caller_id& caller,
+                                  std::uint32_t weight) {
+    queues_[caller].weight = weight;
 }
 
 void fair_share_queue::push(waiting_request request) {
-    caller_line& line = lines_[request.caller];
-    if (line.waiting.empty()) {
-        line.pass = std::max(line.pass, virtual_time_);
+    caller_queue& queue = queues_[request.caller];
+    if (queue.waiting.empty()) {
+        queue.pass = std::max(queue.pass, virtual_time_);
     }
-    line.waiting.push_back(std::move(request));
+    queue.waiting.push_back(std::move(request));
     ++size_;
 }
 
 std::optional<waiting_request> fair_share_queue::pop() {
-    caller_line* next = nullptr;
-    for (auto& [caller, line] : lines_) {
-        if (!line.waiting.empty() &&
-            (next == nullptr || line.pass < next->pass)) {
-            next = &line;
+    caller_queue* next = nullptr;
+    for (auto& [caller, queue] : queues_) {
+        if (!queue.waiting.empty() &&
+            (next == nullptr || queue.pass < next->pass)) {
+            next = &queue;
         }
     }
     if (next == nullptr) {
@@ -38,12 +39,12 @@
 }
 
 bool fair_share_queue::remove(std::uint64_t ticket) {
-    for (auto& [caller, line] : lines_) {
+    for (auto& [caller, queue] : queues_) {
         const auto found =
-            std::find_if(line.waiting.begin(), line.waiting.end(),
+            std::find_if(queue.waiting.begin(), queue.waiting.end(),
                          [&](const auto& r) { return r.ticket == ticket; });
-        if (found != line.waiting.end()) {
-            line.waiting.erase(found);
+        if (found != queue.waiting.end()) {
+            queue.waiting.erase(found);
             --size_;
             return true;
         }
@@ -53,8 +54,8 @@
 
 std::vector<std::uint64_t> fair_share_queue::remove_expired(steady_time limit) {
     std::vector<std::uint64_t> expired;
-    for (auto& [caller, line] : lines_) {
-        std::erase_if(line.waiting, [&](const waiting_request& request) {
+    for (auto& [caller, queue] : queues_) {
+        std::erase_if(queue.waiting, [&](const waiting_request& request) {
             if (request.deadline > limit) {
                 return false;
             }
@@ -68,10 +69,10 @@
 
 std::optional<steady_time> fair_share_queue::oldest_arrival() const {
     std::optional<steady_time> oldest;
-    for (const auto& [caller, line] : lines_) {
-        if (!line.waiting.empty() &&
-            (!oldest || line.waiting.front().arrival < *oldest)) {
-            oldest = line.waiting.front().arrival;
+    for (const auto& [caller, queue] : queues_) {
+        if (!queue.waiting.empty() &&
+            (!oldest || queue.waiting.front().arrival < *oldest)) {
+            oldest = queue.waiting.front().arrival;
         }
     }
     return oldest;
--- a/tests/servers/admission/admission_benchmark.cpp
+++ b/tests/servers/admission/admission_benchmark.cpp
@@ -1,4 +1,4 @@
-#include "servers/admission/shared_admission.hpp"
+#include "servers/admission/synchronized_admission_queue.hpp"
 #include "tests/servers/counting_new.hpp"
 
 #include <benchmark/benchmark.h>
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t caller_count = 25;
 
-/// One submit and one release with this many calls waiting throughout.
+/// Measures one submit and one release while `state.range(0)` requests wait.
 void measure_admission(benchmark::State& state) {
     const auto waiting = static_cast<std::uint64_t>(state.range(0));
     const std::array classes{
@@ -21,7 +21,7 @@
     for (std::uint32_t at = 0; at < caller_count; ++at) {
         callers.emplace_back("trainer" + std::to_string(at));
     }
-    shared_admission admission(admission_queue({}, classes, {}));
+    synchronized_admission_queue admission(admission_queue({}, classes, {}));
     const steady_time now{std::chrono::hours(1)};
     std::uint64_t ticket = 0;
     const auto submit = [&] {
--- a/tests/servers/admission/admission_queue_test.cpp
+++ b/tests/servers/admission/admission_queue_test.cpp
@@ -62,7 +62,7 @@
     EXPECT_EQ(change.granted, std::vector{ticket_});
 }
 
-TEST_F(admission_queue_test, reserve_stands_when_capacity_falls) {
+TEST_F(admission_queue_test, reserve_is_kept_when_capacity_falls) {
     for (int step = 0; step < 20; ++step) {
         ASSERT_TRUE(submit("batch"));
     }
@@ -91,7 +91,7 @@
     }
     EXPECT_EQ(served["t1"], 10);
     EXPECT_EQ(served["t2"], 30);
-    // The second has run dry; the first gets all.
+    // Caller t2 has no more waiting requests, so t1 gets every grant.
     for (int step = 0; step < 30; ++step) {
         const auto change = queue_.release(release, now_);
         ASSERT_EQ(change.granted.size(), 1U);
@@ -99,14 +99,15 @@
     }
 }
 
-TEST_F(admission_queue_test, full_queue_and_hopeless_deadline_are_refused) {
+TEST_F(admission_queue_test, full_queue_and_unmeetable_deadline_are_refused) {
     for (int step = 0; step < 8; ++step) {
         ASSERT_TRUE(submit("batch"));
     }
     now_ += seconds(10);
     static_cast<void>(queue_.release(1, now_));
     ASSERT_TRUE(submit("batch"));
-    // One run takes 10 s: eight at once, so 60 waiting need some 75 s.
+    // A run takes 10 s and eight run at once, so 60 waiting requests would need
+    // about 75 s and some must be refused.
     int queued = 0;
     for (int step = 0; step < 60; ++step) {
         const auto verdict = submit("batch", "t1", seconds(50));
@@ -144,7 +145,8 @@
     static_cast<void>(queue_.release(1, now_));
     ASSERT_TRUE(submit("batch"));
     ASSERT_TRUE(submit("batch", "t1", seconds(25)));
-    // A run takes 10 s, so it must begin within 15 s.
+    // A run takes 10 s, so a request with a deadline in 25 s must start within
+    // 15 s.
     EXPECT_TRUE(queue_.on_tick(now_ + seconds(14)).expired.empty());
     EXPECT_EQ(queue_.on_tick(now_ + seconds(15)).expired, std::vector{ticket_});
 }
@@ -162,7 +164,7 @@
     EXPECT_EQ(change.granted, std::vector{ticket_});
 }
 
-TEST_F(admission_queue_test, batch_moves_on_under_an_interactive_flood) {
+TEST_F(admission_queue_test, batch_progresses_under_an_interactive_flood) {
     for (int step = 0; step < 10; ++step) {
         ASSERT_TRUE(submit("prompt"));
     }
@@ -186,21 +188,23 @@
     EXPECT_TRUE(granted.contains(batch));
 }
 
-TEST_F(admission_queue_test, lone_instance_comes_to_use_the_whole_fleet) {
+TEST_F(admission_queue_test, only_loaded_instance_gets_the_whole_capacity) {
     std::uint32_t own = 0;
     for (int report = 0; report < 8; ++report) {
         own = share_of_capacity(
             {.slots = 128, .load = own, .own_in_flight = own});
     }
     EXPECT_EQ(own, 128U);
-    // A full fleet leaves an instance what it has, and always one.
+    // In a full fleet an instance keeps the slots that it uses, and at least
+    // one.
     EXPECT_EQ(
         share_of_capacity({.slots = 128, .load = 140, .own_in_flight = 40}),
         40U);
     EXPECT_EQ(share_of_capacity({.slots = 128, .load = 140}), 1U);
 }
 
-RC_GTEST_FIXTURE_PROP(admission_queue_test, any_history_keeps_the_bounds, ()) {
+RC_GTEST_FIXTURE_PROP(admission_queue_test,
+                      any_history_keeps_the_capacity_bounds, ()) {
     std::set<std::uint64_t> running;
     std::set<std::uint64_t> ended;
     const auto take = [&](const admission_change& change) {
@@ -231,7 +235,7 @@
         }
         RC_ASSERT(queue_.running() == running.size());
         RC_ASSERT(running.size() <= options.capacity);
-        // Nothing waits beside free capacity.
+        // No interactive request waits while there is free capacity.
         RC_ASSERT(running.size() == options.capacity ||
                   queue_.waiting(class_name("prompt")) == 0);
     }
