--- a/servers/routing/adaptive_policy.hpp
+++ b/servers/routing/adaptive_policy.hpp
@@ -9,29 +9,35 @@
 
 namespace savorydock {
 
-/// What moves the adaptive policy. Loads are fractions of an upstream's slots.
+/// Parameters of the adaptive policy. Loads are given as fractions of an
+/// upstream's slots.
 struct adaptive_options {
-    /// Upstreams drawn at random for one decision.
+    /// Eligible upstreams sampled at random from each pool for one decision.
     std::uint32_t choices = 2;
-    /// After this time a load report counts half; the rest is filled up with
-    /// the mean of all reports.
+    /// The weight of a load report halves in this time; the mean of all reports
+    /// makes up the rest.
     std::chrono::milliseconds report_half_life{2000};
-    /// Load at home from which other zones are looked at.
+    /// When the best candidate in the home zone has at least this load, other
+    /// zones are considered as well.
     double overflow_load = 0.5;
-    /// Load that the way to another zone counts for.
+    /// Cost of a call to another zone, in units of load.
     double cross_zone_cost = 0.05;
-    /// Load that a cached prompt prefix outweighs.
+    /// Bonus for a cached prompt prefix, in units of load.
     double affinity_gain = 0.2;
-    /// Load from which batch work is refused.
+    /// Requests that are not interactive are refused when the chosen upstream
+    /// has at least this load.
     double batch_load_limit = 2;
-    /// Load from which interactive work is refused.
+    /// Interactive requests are refused when the chosen upstream has at least
+    /// this load.
     double interactive_load_limit = 4;
 };
 
-/// The product's policy: a few random candidates, compared by own exact
-/// in-flight count plus the lagging report of the others' load, home zone
-/// first, with a preference for upstreams that hold the prompt's prefix.
-/// Looks at a few upstreams only, whatever their number.
+/// The default policy. Samples a few candidates at random, from the home zone
+/// first, and takes the one with the least estimated load: this instance's
+/// exact in-flight count plus the load by other instances, which is known from
+/// delayed reports. Upstreams that probably hold the prompt's prefix in their
+/// cache get a bonus. The cost of a decision doesn't grow with the number of
+/// upstreams, unless sampling finds none that may serve.
 class adaptive_policy final : public routing_policy {
 public:
     adaptive_policy(adaptive_options options, std::uint64_t seed)
@@ -45,14 +51,15 @@
 private:
     struct search;
 
-    void draw(search& state, std::span<const std::uint32_t> pool) const;
+    void sample_pool(search& state, std::span<const std::uint32_t> pool) const;
     void consider_preferred(search& state) const;
-    [[nodiscard]] bool admits(const search& state,
-                              std::uint32_t position) const;
-    void consider(search& state, std::uint32_t position, double bonus) const;
-    [[nodiscard]] double load_of(const search& state,
-                                 std::uint32_t position) const;
-    [[nodiscard]] bool is_away_allowed(const search& state) const;
+    [[nodiscard]] bool is_eligible(const search& state,
+                                   std::uint32_t position) const;
+    void consider_candidate(search& state, std::uint32_t position,
+                            double bonus) const;
+    [[nodiscard]] double estimated_load(const search& state,
+                                        std::uint32_t position) const;
+    [[nodiscard]] bool is_overflow_allowed(const search& state) const;
 
     adaptive_options options_;
     std::uint64_t seed_;
--- a/servers/routing/affinity_ring.cpp
+++ b/servers/routing/affinity_ring.cpp
@@ -9,7 +9,8 @@
 
 constexpr std::size_t points_per_upstream = 16;
 
-/// FNV-1a: the same on every instance, which std::hash does not promise.
+/// FNV-1a. Every instance must compute the same hash, which std::hash does not
+/// guarantee.
 std::uint64_t hash_text(std::string_view text) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char letter : text) {
--- a/servers/routing/affinity_ring.hpp
+++ b/servers/routing/affinity_ring.hpp
@@ -8,18 +8,21 @@
 
 namespace savorydock {
 
-/// Consistent hashing of prompt prefixes over the upstreams of a service:
-/// every instance prefers the same ones without a word between them, and a
-/// change of the upstreams moves few prefixes. Immutable, hence thread safe.
+/// Consistent hashing of prompt prefixes over the upstreams of a service. All
+/// instances prefer the same upstreams for a prefix without communicating, and
+/// adding or removing an upstream moves few prefixes. Immutable and therefore
+/// thread safe.
 class affinity_ring {
 public:
     affinity_ring() = default;
 
-    /// Places every upstream; positions are those in `upstreams`.
+    /// Places every upstream on the ring. Positions are indexes into
+    /// `upstreams`.
     explicit affinity_ring(std::span<const upstream_rule> upstreams);
 
-    /// Calls `visit(position)` in order of preference until it returns true
-    /// or `max_steps` points have been visited. An upstream may come twice.
+    /// Calls `visit(position)` in order of preference until it returns true or
+    /// `max_steps` points have been visited. May visit an upstream more than
+    /// once.
     template <class Visitor>
     void walk(std::uint64_t prefix_hash, std::size_t max_steps,
               Visitor visit) const {
@@ -46,7 +49,7 @@
     std::vector<point> points_;
 };
 
-/// A fast mixing of 64 bits (the finaliser of SplitMix64). Thread safe.
+/// Mixes 64 bits with one step of the SplitMix64 generator. Thread safe.
 [[nodiscard]] constexpr std::uint64_t mix_bits(std::uint64_t value) {
     value += 0x9e3779b97f4a7c15ULL;
     value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9ULL;
--- a/servers/routing/fleet_load.hpp
+++ b/servers/routing/fleet_load.hpp
@@ -4,12 +4,14 @@
 
 namespace savorydock {
 
-/// The load of a service as far as an instance can know it.
+/// The load of a service, as estimated by one instance.
 struct fleet_load {
-    /// Requests that the serving upstreams take at once.
+    /// Requests that the serving upstreams can process at the same time.
     std::uint32_t slots = 0;
-    /// Requests on them, by own counts and the lagging reports of the others.
+    /// Requests on the serving upstreams: those of this instance, counted
+    /// exactly, and those of other instances, known from delayed reports.
     std::uint32_t load = 0;
+    /// Requests of this instance, on upstreams in any condition.
     std::uint32_t own_in_flight = 0;
 };
 
--- a/servers/routing/least_in_flight_policy.cpp
+++ b/servers/routing/least_in_flight_policy.cpp
@@ -11,16 +11,17 @@
     for (const auto wanted :
          {upstream_condition::serving, upstream_condition::suspected}) {
         std::uint32_t best = count;
-        std::uint32_t least = std::numeric_limits<std::uint32_t>::max();
+        std::uint32_t lowest = std::numeric_limits<std::uint32_t>::max();
         const std::uint32_t start =
             start_.fetch_add(1, std::memory_order_relaxed);
         for (std::uint32_t step = 0; step < count; ++step) {
             const std::uint32_t at = (start + step) % count;
-            const std::uint32_t held =
+            const std::uint32_t in_flight =
                 service.layout->counters[at]->in_flight();
-            if (held < least && service.upstreams[at].condition == wanted &&
+            if (in_flight < lowest &&
+                service.upstreams[at].condition == wanted &&
                 may_serve(service, at, query)) {
-                least = held;
+                lowest = in_flight;
                 best = at;
             }
         }
--- a/servers/routing/least_in_flight_policy.hpp
+++ b/servers/routing/least_in_flight_policy.hpp
@@ -6,8 +6,9 @@
 
 namespace savorydock {
 
-/// A baseline: the upstream with the fewest requests of this instance in
-/// flight, wherever it is. Looks at every upstream.
+/// A baseline for comparison: picks the upstream with the fewest in-flight
+/// requests of this instance and doesn't prefer the home zone. Scans every
+/// upstream.
 class least_in_flight_policy final : public routing_policy {
 public:
     [[nodiscard]] outcome<route_choice> choose(const routed_service& service,
@@ -15,7 +16,8 @@
                                                steady_time now) override;
 
 private:
-    /// Where the search begins, so that ties fall to each in turn.
+    /// Where the next scan starts; it advances so that ties are spread over
+    /// all upstreams.
     std::atomic<std::uint32_t> start_ = 0;
 };
 
--- a/servers/routing/prefix_directory.cpp
+++ b/servers/routing/prefix_directory.cpp
@@ -9,7 +9,8 @@
 constexpr std::chrono::seconds hint_lifetime{120};
 constexpr std::uint64_t half_word_mask = 0xffff;
 
-std::uint64_t second_of(steady_time now) {
+/// Seconds of the clock, modulo 2^16 to fit into an entry.
+std::uint64_t wrapped_seconds(steady_time now) {
     return static_cast<std::uint64_t>(
                std::chrono::duration_cast<std::chrono::seconds>(
                    now.time_since_epoch())
@@ -27,7 +28,7 @@
     const std::uint64_t mixed = mix_bits(prefix_hash);
     const std::uint64_t tag = mixed >> 32U;
     entries_[mixed % entry_count].store(
-        (tag << 32U) | (std::uint64_t{position} << 16U) | second_of(now),
+        (tag << 32U) | (std::uint64_t{position} << 16U) | wrapped_seconds(now),
         std::memory_order_relaxed);
 }
 
@@ -40,7 +41,7 @@
         return std::nullopt;
     }
     const std::uint64_t age =
-        (second_of(now) - (entry & half_word_mask)) & half_word_mask;
+        (wrapped_seconds(now) - (entry & half_word_mask)) & half_word_mask;
     if (age > static_cast<std::uint64_t>(hint_lifetime.count())) {
         return std::nullopt;
     }
--- a/servers/routing/round_robin_policy.hpp
+++ b/servers/routing/round_robin_policy.hpp
@@ -6,7 +6,8 @@
 
 namespace savorydock {
 
-/// A baseline: each upstream in turn, wherever it is.
+/// A baseline for comparison: picks the upstreams in turn and doesn't prefer
+/// the home zone.
 class round_robin_policy final : public routing_policy {
 public:
     [[nodiscard]] outcome<route_choice> choose(const routed_service& service,
--- a/servers/routing/routing_policy.cpp
+++ b/servers/routing/routing_policy.cpp
@@ -29,7 +29,7 @@
         return false;
     }
     if (service.upstreams[position].version < query.minimum_version ||
-        layout.counters[position]->has_said_leaving()) {
+        layout.counters[position]->has_reported_leaving()) {
         return false;
     }
     const upstream_id& name = layout.document->upstreams[position].name;
--- a/servers/routing/routing_policy.hpp
+++ b/servers/routing/routing_policy.hpp
@@ -8,35 +8,36 @@
 
 namespace savorydock {
 
-/// Chooses one upstream of one service. Every method is thread safe.
+/// Chooses an upstream of a service for a request. Every method is thread safe.
 class routing_policy {
 public:
     virtual ~routing_policy() = default;
 
-    /// Returns the position of the chosen upstream with the reasons.
+    /// Returns the chosen upstream and the data that the choice rests on.
     /// Errors: `not_run_no_upstream`, `not_run_overloaded`.
     [[nodiscard]] virtual outcome<route_choice>
     choose(const routed_service& service, const route_query& query,
            steady_time now) = 0;
 };
 
-/// Makes the policy that a service document names. `seed` feeds its random
-/// choices.
+/// Creates the policy of the given kind. `seed` seeds its random choices.
 [[nodiscard]] std::unique_ptr<routing_policy>
 make_routing_policy(routing_policy_kind kind, std::uint64_t seed);
 
-/// Whether the upstream is fresh enough, not yet tried by the request, and
-/// not leaving by its own word.
+/// Whether the upstream may serve the request: its zone is allowed, its weights
+/// are not older than the query's minimum, the request has not tried it yet,
+/// and it has not reported that it is leaving. Doesn't check the condition in
+/// `routed_upstream`.
 [[nodiscard]] bool may_serve(const routed_service& service,
                              std::uint32_t position, const route_query& query);
 
-/// Describes the choice of the upstream at `position`. Allocates nothing.
+/// Builds the `route_choice` for the upstream at `position`. Allocates nothing.
 [[nodiscard]] route_choice make_choice(const routed_service& service,
                                        std::uint32_t position,
                                        std::uint32_t candidates,
                                        steady_time now);
 
-/// The reason when nobody may serve.
+/// The failure that is returned when no upstream may serve the request.
 [[nodiscard]] failure no_upstream_reason();
 
 } // namespace savorydock
--- a/servers/routing/routing_snapshot.hpp
+++ b/servers/routing/routing_snapshot.hpp
@@ -14,52 +14,57 @@
 
 namespace savorydock {
 
-/// The part of a service's routing that changes with its document only.
+/// The part of a service's routing data that is rebuilt when its document
+/// changes, and when a removed upstream has no more requests in flight.
 struct service_layout {
     std::shared_ptr<const service_document> document;
-    /// By position in the document's list of upstreams.
+    /// Indexed by position in the document's list of upstreams.
     std::vector<std::shared_ptr<upstream_counters>> counters;
-    /// Also holds upstreams that have gone but have requests in flight.
-    std::unordered_map<upstream_id, std::shared_ptr<upstream_counters>> by_name;
-    /// By name in the document, into `counters`.
+    /// Also contains upstreams that were removed from the document but still
+    /// have requests in flight.
+    std::unordered_map<upstream_id, std::shared_ptr<upstream_counters>>
+        counters_by_name;
+    /// Maps the names in the document to indexes into `counters`.
     std::unordered_map<upstream_id, std::uint32_t> positions;
     affinity_ring ring;
-    /// Never null; traffic writes to it.
+    /// Never null. Traffic threads write to it.
     std::shared_ptr<prefix_directory> directory;
 };
 
-/// What is held of one upstream at the time of a publication.
+/// The state of one upstream at the time of a publication.
 struct routed_upstream {
     upstream_condition condition = upstream_condition::serving;
     bool is_home_zone = false;
     std::uint32_t slots = 1;
     weight_version version = 0;
-    /// Load that other instances had put on it at the time of its report.
+    /// Requests of other instances on it at the time of its last report.
     std::uint32_t load_by_others = 0;
     steady_time reported_at{};
-    /// Part of a full share that it may get, by its outcomes and latency.
+    /// Fraction of a full share of requests that it gets, computed from its
+    /// failures and its latency; see `update_upstream_weights`.
     double weight = 1;
 };
 
-/// One service as traffic sees it.
+/// The routing data of one service, as used by traffic threads.
 struct routed_service {
     std::shared_ptr<const service_layout> layout;
-    /// By position in the document's list of upstreams.
+    /// Indexed by position in the document's list of upstreams.
     std::vector<routed_upstream> upstreams;
-    /// Positions of those that serve, in the home zone and in others.
-    std::vector<std::uint32_t> home;
-    std::vector<std::uint32_t> away;
+    /// Positions of the serving upstreams in the home zone and in other zones,
+    /// and of the suspected upstreams in any zone.
+    std::vector<std::uint32_t> home_zone;
+    std::vector<std::uint32_t> other_zones;
     std::vector<std::uint32_t> suspected;
-    /// Mean load by others for each slot, of those that serve.
+    /// Mean `load_by_others` per slot of the serving upstreams.
     double mean_load_by_others = 0;
 };
 
-/// Everything that routing needs, at one moment. Immutable but for the
-/// counters it refers to, hence thread safe.
+/// All routing data at the time of one publication. Immutable except for the
+/// counters and prefix directories it refers to, which are thread safe.
 struct routing_snapshot {
     std::unordered_map<service_name, routed_service> services;
 
-    /// The service of that name, or null.
+    /// Returns the service of that name, or null.
     [[nodiscard]] const routed_service* find(const service_name& name) const {
         const auto found = services.find(name);
         return found == services.end() ? nullptr : &found->second;
--- a/servers/routing/routing_snapshot_builder.cpp
+++ b/servers/routing/routing_snapshot_builder.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+/// Fills the lists of positions and the mean load of others.
 void sort_into_pools(routed_service& routed) {
     double load = 0;
     double slots = 0;
@@ -19,30 +20,35 @@
         if (upstream.condition != upstream_condition::serving) {
             continue;
         }
-        (upstream.is_home_zone ? routed.home : routed.away).push_back(at);
+        (upstream.is_home_zone ? routed.home_zone : routed.other_zones)
+            .push_back(at);
         load += upstream.load_by_others;
         slots += upstream.slots;
     }
     routed.mean_load_by_others = slots > 0 ? load / slots : 0;
 }
 
-bool has_idle_leftovers(const service_layout& layout) {
-    if (layout.by_name.size() == layout.counters.size()) {
+/// Whether the layout still has counters of an upstream that was removed from
+/// the document and has no more requests in flight.
+bool has_idle_removed_upstreams(const service_layout& layout) {
+    if (layout.counters_by_name.size() == layout.counters.size()) {
         return false;
     }
-    return std::any_of(
-        layout.by_name.begin(), layout.by_name.end(), [&](const auto& entry) {
-            return layout.document->find_upstream(entry.first) == nullptr &&
-                   entry.second->in_flight() == 0;
-        });
+    return std::any_of(layout.counters_by_name.begin(),
+                       layout.counters_by_name.end(), [&](const auto& entry) {
+                           return layout.document->find_upstream(entry.first) ==
+                                      nullptr &&
+                                  entry.second->in_flight() == 0;
+                       });
 }
 
 } // namespace
 
-void routing_snapshot_builder::refresh_layout(kept_service& kept,
+void routing_snapshot_builder::refresh_layout(cached_service& cached,
                                               const service_in_force& service) {
-    const auto old = kept.layout;
-    if (old && old->document == service.document && !has_idle_leftovers(*old)) {
+    const auto old = cached.layout;
+    if (old && old->document == service.document &&
+        !has_idle_removed_upstreams(*old)) {
         return;
     }
     auto layout = std::make_shared<service_layout>();
@@ -50,35 +56,36 @@
     layout->ring = affinity_ring(service.document->upstreams);
     for (const upstream_rule& rule : service.document->upstreams) {
         std::shared_ptr<upstream_counters> counters;
-        if (old && old->by_name.contains(rule.name)) {
-            counters = old->by_name.at(rule.name);
+        if (old && old->counters_by_name.contains(rule.name)) {
+            counters = old->counters_by_name.at(rule.name);
         } else {
             counters = std::make_shared<upstream_counters>();
         }
         layout->positions.emplace(
             rule.name, static_cast<std::uint32_t>(layout->counters.size()));
         layout->counters.push_back(counters);
-        layout->by_name.emplace(rule.name, std::move(counters));
+        layout->counters_by_name.emplace(rule.name, std::move(counters));
     }
     if (old) {
-        for (const auto& [name, counters] : old->by_name) {
+        for (const auto& [name, counters] : old->counters_by_name) {
             if (counters->in_flight() > 0) {
-                layout->by_name.emplace(name, counters);
+                layout->counters_by_name.emplace(name, counters);
             }
         }
     }
-    // Positions in the directory mean nothing once the upstreams changed.
+    // The directory stores positions, which are invalid once the list of
+    // upstreams has changed.
     layout->directory = old && old->positions == layout->positions
                             ? old->directory
                             : std::make_shared<prefix_directory>();
     if (!old || old->document != service.document) {
-        kept.reports.assign(layout->counters.size(), {});
+        cached.reports.assign(layout->counters.size(), {});
     }
-    kept.layout = std::move(layout);
+    cached.layout = std::move(layout);
 }
 
 void routing_snapshot_builder::fill_upstreams(
-    routed_service& routed, kept_service& kept,
+    routed_service& routed, cached_service& cached,
     const upstream_state_map& states) const {
     const service_layout& layout = *routed.layout;
     const auto& rules = layout.document->upstreams;
@@ -95,9 +102,10 @@
             continue;
         }
         const upstream_state& state = found->second;
-        report& last = kept.reports[at];
+        report& last = cached.reports[at];
         if (state.reported_at != last.reported_at) {
-            // The part of the reported load that is our own we know exactly.
+            // The report includes this instance's own requests. They are
+            // counted exactly elsewhere, so subtract them here.
             const std::uint32_t own = layout.counters[at]->in_flight();
             last.reported_at = state.reported_at;
             last.load_by_others =
@@ -115,13 +123,13 @@
                                 const upstream_state_map& states) {
     auto snapshot = std::make_shared<routing_snapshot>();
     for (const auto& [name, service] : view.services()) {
-        kept_service& kept = services_[name];
-        refresh_layout(kept, service);
+        cached_service& cached = services_[name];
+        refresh_layout(cached, service);
         routed_service& routed = snapshot->services[name];
-        routed.layout = kept.layout;
-        fill_upstreams(routed, kept, states);
+        routed.layout = cached.layout;
+        fill_upstreams(routed, cached, states);
         sort_into_pools(routed);
-        weigh_upstreams(routed);
+        update_upstream_weights(routed);
     }
     std::erase_if(services_, [&](const auto& entry) {
         return view.find(entry.first) == nullptr;
--- a/servers/routing/snapshot_router.cpp
+++ b/servers/routing/snapshot_router.cpp
@@ -46,8 +46,9 @@
     if (routed == nullptr) {
         return nullptr;
     }
-    const auto found = routed->layout->by_name.find(upstream);
-    return found == routed->layout->by_name.end() ? nullptr : found->second;
+    const auto found = routed->layout->counters_by_name.find(upstream);
+    return found == routed->layout->counters_by_name.end() ? nullptr
+                                                           : found->second;
 }
 
 void snapshot_router::begin(const service_name& service,
--- a/servers/routing/snapshot_router.hpp
+++ b/servers/routing/snapshot_router.hpp
@@ -9,13 +9,14 @@
 
 namespace savorydock {
 
-/// The router of an instance: control publishes immutable snapshots, traffic
-/// picks from the newest one with the policy that the service's document
-/// names. `pick`, `begin` and `finish` allocate nothing.
+/// The router of an instance. The control thread publishes immutable snapshots;
+/// traffic threads pick from the newest one with the policy that the service's
+/// document selects. `pick`, `begin` and `finish` allocate nothing.
 class snapshot_router final : public upstream_router {
 public:
-    /// `home` is the instance's zone; `seed` feeds random choices and should
-    /// differ between instances, lest they choose alike.
+    /// `home` is the instance's zone. `seed` seeds the random choices; it
+    /// should differ between instances so that they don't all pick the same
+    /// upstreams.
     snapshot_router(availability_zone home, std::uint64_t seed);
 
     [[nodiscard]] outcome<route_choice> pick(const route_query& query,
@@ -31,8 +32,8 @@
     void publish(std::shared_ptr<const configuration_view> view,
                  std::shared_ptr<const upstream_state_map> states) override;
 
-    /// Puts a policy with settings of its own in the place of a kind's.
-    /// Precondition: no traffic yet.
+    /// Replaces the policy of a kind, for example by one with other options.
+    /// Precondition: traffic has not started yet.
     void replace_policy(routing_policy_kind kind,
                         std::unique_ptr<routing_policy> policy);
 
--- a/servers/routing/upstream_counters.cpp
+++ b/servers/routing/upstream_counters.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-/// The newest observation's part in a moving average is 1/8.
+/// The newest observation has a weight of 1/8 in a moving average.
 constexpr std::int64_t smoothing_divisor = 8;
 
-/// Control hears of a leaving upstream within this many publications.
+/// How long an upstream's report that it is leaving is kept. The control thread
+/// learns of it within this many publications.
 constexpr std::uint32_t leaving_hold_publications = 3;
 
 bool is_answer(upstream_evidence evidence) {
@@ -15,7 +16,8 @@
            evidence == upstream_evidence::answered_slowly;
 }
 
-/// Refusals to take work are no faults; only these count as failures.
+/// An upstream that declines work (leaving or overloaded) is not faulty and
+/// doesn't count as failed.
 bool is_failure(upstream_evidence evidence) {
     return evidence == upstream_evidence::refused_connection ||
            evidence == upstream_evidence::connection_lost ||
@@ -30,15 +32,17 @@
 
 void upstream_counters::finish(upstream_evidence evidence,
                                std::chrono::microseconds latency) {
-    std::uint32_t held = in_flight_.load(std::memory_order_relaxed);
-    while (held > 0 && !in_flight_.compare_exchange_weak(
-                           held, held - 1, std::memory_order_relaxed)) {
+    std::uint32_t in_flight = in_flight_.load(std::memory_order_relaxed);
+    while (in_flight > 0 &&
+           !in_flight_.compare_exchange_weak(in_flight, in_flight - 1,
+                                             std::memory_order_relaxed)) {
     }
     if (evidence == upstream_evidence::said_leaving) {
         leaving_publications_.store(leaving_hold_publications,
                                     std::memory_order_relaxed);
     }
-    // Two threads may lose one of two updates; an average bears that.
+    // The averages are updated by a separate load and store, so concurrent
+    // calls may lose an update. That is accurate enough for an average.
     if (is_failure(evidence)) {
         failure_streak_.fetch_add(1, std::memory_order_relaxed);
         const double rate = failure_rate_.load(std::memory_order_relaxed);
@@ -54,12 +58,12 @@
                         std::memory_order_relaxed);
     const std::int64_t old =
         latency_microseconds_.load(std::memory_order_relaxed);
-    const std::int64_t seen = latency.count();
-    if (seen == 0) {
+    const std::int64_t observed = latency.count();
+    if (observed == 0) {
         return;
     }
     latency_microseconds_.store(
-        old == 0 ? seen : old + (seen - old) / smoothing_divisor,
+        old == 0 ? observed : old + (observed - old) / smoothing_divisor,
         std::memory_order_relaxed);
 }
 
@@ -80,14 +84,16 @@
     return failure_streak_.load(std::memory_order_relaxed);
 }
 
-bool upstream_counters::has_said_leaving() const {
+bool upstream_counters::has_reported_leaving() const {
     return leaving_publications_.load(std::memory_order_relaxed) > 0;
 }
 
 void upstream_counters::on_publication() {
-    std::uint32_t left = leaving_publications_.load(std::memory_order_relaxed);
-    while (left > 0 && !leaving_publications_.compare_exchange_weak(
-                           left, left - 1, std::memory_order_relaxed)) {
+    std::uint32_t remaining =
+        leaving_publications_.load(std::memory_order_relaxed);
+    while (remaining > 0 &&
+           !leaving_publications_.compare_exchange_weak(
+               remaining, remaining - 1, std::memory_order_relaxed)) {
     }
 }
 
--- a/servers/routing/upstream_counters.hpp
+++ b/servers/routing/upstream_counters.hpp
@@ -8,34 +8,37 @@
 
 namespace savorydock {
 
-/// What this instance's own traffic knows of one upstream. It outlives the
-/// snapshots that refer to it, so that no count is lost when one is swapped.
-/// Every method is thread safe and lock free.
+/// What this instance's own traffic has measured of one upstream. It is shared
+/// by successive snapshots, so that no count is lost when a snapshot is
+/// replaced. Every method is thread safe and lock free.
 class upstream_counters {
 public:
     /// Counts a request in flight.
     void begin();
 
-    /// Ends a request that `begin` counted, with what was seen of it. A
-    /// latency of zero is none, as of a request that was cancelled.
+    /// Ends a request that `begin` counted and records its result. A latency of
+    /// zero means that none was measured, for example because the request was
+    /// cancelled.
     void finish(upstream_evidence evidence, std::chrono::microseconds latency);
 
     [[nodiscard]] std::uint32_t in_flight() const;
 
-    /// Moving average of the latencies seen; 0 before the first.
+    /// Moving average of the measured latencies; 0 if there is none yet.
     [[nodiscard]] std::chrono::microseconds latency() const;
 
-    /// Moving average of failures, 0 (none) to 1 (all).
+    /// Moving average of the fraction of requests that failed, from 0 to 1.
     [[nodiscard]] double failure_rate() const;
 
-    /// Failures since the last answer.
+    /// Number of failures since the last answer.
     [[nodiscard]] std::uint32_t failure_streak() const;
 
-    /// Whether the upstream itself said a moment ago that it leaves; control
-    /// has the last word once it has heard it too.
-    [[nodiscard]] bool has_said_leaving() const;
+    /// Whether the upstream itself reported recently that it is leaving. This
+    /// bridges the time until the control thread knows of it; from then on the
+    /// published condition decides.
+    [[nodiscard]] bool has_reported_leaving() const;
 
-    /// Called at each publication: lets `has_said_leaving` run out.
+    /// Must be called at each publication. After a few of them
+    /// `has_reported_leaving` becomes false again.
     void on_publication();
 
 private:
--- a/servers/routing/upstream_router.hpp
+++ b/servers/routing/upstream_router.hpp
@@ -16,27 +16,28 @@
 
 namespace savorydock {
 
-/// What one request wants of its upstream. The spans and references must
-/// live through the call.
+/// What a request requires of its upstream. The spans and references must stay
+/// valid during the call.
 struct route_query {
     const service_in_force& service;
     class_name class_of_service;
-    /// A hash of the prompt's first tokens, 0 if there is none.
+    /// A hash of the prompt's first tokens; 0 if there is none.
     std::uint64_t prefix_hash = 0;
-    /// Expected length of the answer in tokens, 0 if it is not known.
+    /// Expected length of the answer in tokens; 0 if unknown.
     std::uint32_t expected_tokens = 0;
-    /// The oldest weights that may serve the request.
+    /// The oldest weight version that may serve the request.
     weight_version minimum_version = 0;
-    /// Upstreams that this request has tried.
+    /// Upstreams that this request has already tried.
     std::span<const upstream_id> excluded;
 };
 
-/// The upstream chosen and why, for the decision record.
+/// The chosen upstream, with the data for the decision record.
 struct route_choice {
-    /// Never null; keeps the document it is part of alive.
+    /// Never null. Shares the ownership of the document that contains the rule.
     std::shared_ptr<const upstream_rule> upstream;
+    /// Number of upstreams that were considered.
     std::uint32_t candidates = 0;
-    /// Age of the newest load report that was weighed.
+    /// Age of the chosen upstream's last load report; 0 if it sent none.
     std::chrono::milliseconds report_age{0};
     bool is_cross_zone = false;
 };
@@ -52,29 +53,32 @@
     [[nodiscard]] virtual outcome<route_choice> pick(const route_query& query,
                                                      steady_time now) = 0;
 
-    /// Counts a request in flight on an upstream. Pair it with `finish`.
+    /// Counts a request in flight on an upstream. Must be paired with `finish`.
     virtual void begin(const service_name& service,
                        const upstream_id& upstream) = 0;
-    /// `latency` must be comparable between the upstreams of the service:
-    /// time to the first byte of a plain call, time per token of a stream;
-    /// zero if none was seen, as of a request that was cancelled.
+    /// Ends a request that `begin` counted. `latency` must be comparable
+    /// between the upstreams of the service: time to the first byte for a plain
+    /// call, time per token for a stream; zero if none was measured, for
+    /// example because the request was cancelled.
     virtual void finish(const service_name& service,
                         const upstream_id& upstream, upstream_evidence evidence,
                         std::chrono::microseconds latency) = 0;
 
-    /// Takes a hint, late and perhaps wrong, that an upstream holds a prompt
-    /// prefix in its cache.
+    /// Records that an upstream probably holds a prompt prefix in its cache.
+    /// The hint may be late or wrong.
     virtual void learn_prefix(const service_name& service,
                               const upstream_id& upstream,
                               std::uint64_t prefix_hash, steady_time now) = 0;
 
-    /// The load of a service; all zero if it is not known. Looks at every
-    /// upstream: call it on ticks, not for each request.
+    /// Returns the load of a service; all zero if the service is not known.
+    /// Iterates over every upstream, so call it on ticks rather than for each
+    /// request.
     [[nodiscard]] virtual fleet_load
     load(const service_name& service) const = 0;
 
-    /// Takes what control knows. Called on the control thread, at each change
-    /// and at least once a second, since weights by latency are set here.
+    /// Publishes the configuration and upstream states for later picks. Must be
+    /// called on the control thread at each change and at least once a second,
+    /// because it also updates the upstreams' weights from their latencies.
     /// Precondition: neither pointer is null.
     virtual void publish(std::shared_ptr<const configuration_view> view,
                          std::shared_ptr<const upstream_state_map> states) = 0;
--- a/servers/routing/upstream_state.hpp
+++ b/servers/routing/upstream_state.hpp
@@ -8,28 +8,30 @@
 
 namespace savorydock {
 
-/// What control holds an upstream to be.
+/// The condition of an upstream as determined on the control thread.
 enum class upstream_condition : std::uint8_t {
     serving,
-    /// Fails or does not answer; gets work only when nobody else can.
+    /// Fails or does not answer; gets requests only if no serving upstream is
+    /// eligible.
     suspected,
-    /// Says or is said to leave; gets no new work.
+    /// Announced by itself or by others as leaving; gets no new requests.
     leaving,
-    /// Changes its weights; gets no new work for the while.
+    /// Is loading other weights; gets no new requests until it is done.
     swapping,
 };
 
-/// What control knows of one upstream, with the age of what is reported.
+/// What the control thread knows of one upstream, with the time of the last
+/// report.
 struct upstream_state {
     upstream_condition condition = upstream_condition::serving;
-    /// The weights it last reported; 0 if it reported none.
+    /// The weight version it last reported; 0 if it reported none.
     weight_version version = 0;
-    /// Requests running and waiting on it, by its own lagging word.
+    /// Requests running and waiting on it, according to its last report.
     std::uint32_t reported_load = 0;
     steady_time reported_at{};
 };
 
-/// Upstreams are named within their service.
+/// Identifies an upstream; its name is unique only within its service.
 struct upstream_key {
     service_name service;
     upstream_id upstream;
--- a/servers/routing/upstream_weights.cpp
+++ b/servers/routing/upstream_weights.cpp
@@ -7,32 +7,33 @@
 
 namespace {
 
-/// Up to this multiple of the median an upstream keeps its full share.
-constexpr double tolerated_slowness = 2;
+/// An upstream keeps its full share while its latency is at most this multiple
+/// of the median.
+constexpr double max_tolerated_latency_ratio = 2;
 
-/// From this multiple on it gets a trickle.
-constexpr double ejecting_slowness = 3;
+/// From this multiple of the median latency on, it gets `min_upstream_weight`.
+constexpr double outlier_latency_ratio = 3;
 
-/// From this part of failed requests on it gets a trickle.
-constexpr double ejecting_failure_rate = 0.4;
+/// From this fraction of failed requests on, it gets `min_upstream_weight`.
+constexpr double outlier_failure_rate = 0.4;
 
-/// With fewer kin than this a median says nothing.
-constexpr std::size_t least_kin = 3;
+/// With latencies of fewer upstreams than this, the median is not meaningful.
+constexpr std::size_t min_median_samples = 3;
 
-double weight_of(double slowness, double failure_rate) {
-    if (slowness >= ejecting_slowness ||
-        failure_rate >= ejecting_failure_rate) {
-        return trickle_weight;
+double weight_of(double latency_ratio, double failure_rate) {
+    if (latency_ratio >= outlier_latency_ratio ||
+        failure_rate >= outlier_failure_rate) {
+        return min_upstream_weight;
     }
-    if (slowness <= tolerated_slowness) {
+    if (latency_ratio <= max_tolerated_latency_ratio) {
         return 1;
     }
-    return 1 / slowness;
+    return 1 / latency_ratio;
 }
 
 } // namespace
 
-void weigh_upstreams(routed_service& service) {
+void update_upstream_weights(routed_service& service) {
     const auto& counters = service.layout->counters;
     std::vector<double> latencies;
     latencies.reserve(counters.size());
@@ -42,7 +43,7 @@
         }
     }
     double median = 0;
-    if (latencies.size() >= least_kin) {
+    if (latencies.size() >= min_median_samples) {
         const auto middle = latencies.begin() +
                             static_cast<std::ptrdiff_t>(latencies.size() / 2);
         std::nth_element(latencies.begin(), middle, latencies.end());
@@ -51,9 +52,9 @@
     for (std::size_t at = 0; at < counters.size(); ++at) {
         const auto latency =
             static_cast<double>(counters[at]->latency().count());
-        const double slowness = median > 0 ? latency / median : 1;
+        const double latency_ratio = median > 0 ? latency / median : 1;
         service.upstreams[at].weight =
-            weight_of(slowness, counters[at]->failure_rate());
+            weight_of(latency_ratio, counters[at]->failure_rate());
     }
 }
 
--- a/servers/routing/upstream_weights.hpp
+++ b/servers/routing/upstream_weights.hpp
@@ -4,12 +4,14 @@
 
 namespace savorydock {
 
-/// The share that an upstream keeps so that its recovery is seen.
-inline constexpr double trickle_weight = 1.0 / 32;
+/// The weight of an upstream that fails or is far too slow. It still gets a few
+/// requests, so that its recovery is noticed.
+inline constexpr double min_upstream_weight = 1.0 / 32;
 
-/// Sets the weight of each serving upstream by its failures and by its
-/// latency against the median of the service: one that is far slower than
-/// its kin gets a trickle whatever it says of itself. Not thread safe.
-void weigh_upstreams(routed_service& service);
+/// Sets the weight of each upstream from its failure rate and from its latency
+/// relative to the median of the service. An upstream that is far slower than
+/// the others gets `min_upstream_weight` whatever it reports about itself.
+/// Not thread safe.
+void update_upstream_weights(routed_service& service);
 
 } // namespace savorydock
--- a/tests/servers/counting_new.hpp
+++ b/tests/servers/counting_new.hpp
@@ -1,5 +1,5 @@
-/// Counts allocations. Include it in the one source of a benchmark only: it
-/// replaces the program's operator new.
+/// Counts allocations by replacing the program's operator new. Include it only
+/// in benchmarks that consist of a single source file.
 #pragma once
 
 #include <atomic>
--- a/tests/servers/routing/routing_benchmark.cpp
+++ b/tests/servers/routing/routing_benchmark.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// One pick, begin and finish; reports allocations for each decision.
+/// Measures one pick, begin and finish, and reports the allocations per
+/// decision.
 void measure_decisions(benchmark::State& state, routing_policy_kind kind) {
     const auto upstreams = static_cast<std::uint32_t>(state.range(0));
     routing_fixture fixture(upstreams, kind);
--- a/tests/servers/routing/routing_fixture.hpp
+++ b/tests/servers/routing/routing_fixture.hpp
@@ -8,7 +8,8 @@
 
 namespace savorydock {
 
-/// Builds a router over one service for tests and benchmarks.
+/// Holds the document and upstream states of one service and publishes them to
+/// a router, for tests and benchmarks.
 class routing_fixture {
 public:
     explicit routing_fixture(std::uint32_t upstreams, routing_policy_kind kind,
@@ -47,7 +48,7 @@
                        std::make_shared<const upstream_state_map>(states_));
     }
 
-    /// Puts a changed document in force at the next publication.
+    /// Replaces the document from the next publication on.
     void replace_document(std::shared_ptr<service_document> document) {
         document_ = std::move(document);
         service_ = {service_.revision + 1, document_};
--- a/tests/servers/routing/snapshot_router_test.cpp
+++ b/tests/servers/routing/snapshot_router_test.cpp
@@ -9,7 +9,7 @@
 
 namespace savorydock {
 
-/// Names the policy in a test's name.
+/// Names the policy for the name of a parameterised test.
 std::string
 name_of_case(const ::testing::TestParamInfo<routing_policy_kind>& info) {
     switch (info.param) {
@@ -28,9 +28,10 @@
 protected:
     static constexpr std::uint32_t upstreams = 8;
 
-    /// Picks `count` times, with each request left in flight if asked so.
+    /// Picks `count` times and returns how often each upstream was chosen. The
+    /// requests stay in flight if `leave_in_flight` is set.
     std::vector<std::uint32_t> pick_counts(int count, const route_query& query,
-                                           bool is_held = false) {
+                                           bool leave_in_flight = false) {
         std::vector<std::uint32_t> counts(upstreams);
         for (int step = 0; step < count; ++step) {
             const auto choice = router_.pick(query, now_);
@@ -40,15 +41,15 @@
             }
             const upstream_id& name = choice->upstream->name;
             ++counts[std::stoul(name.text().substr(1))];
-            if (is_held) {
+            if (leave_in_flight) {
                 router_.begin(service_, name);
             }
         }
         return counts;
     }
 
-    void finish_all(std::uint32_t at, upstream_evidence evidence,
-                    std::chrono::microseconds latency, int times = 40) {
+    void finish_requests(std::uint32_t at, upstream_evidence evidence,
+                         std::chrono::microseconds latency, int times = 40) {
         for (int step = 0; step < times; ++step) {
             router_.finish(service_, routing_fixture::name(at), evidence,
                            latency);
@@ -107,7 +108,8 @@
     router_.begin(service_, name);
     fixture_.replace_document(with);
     fixture_.publish(router_);
-    // Two in flight on it: least in flight passes it over.
+    // The upstream has two requests in flight, so the least-in-flight policy
+    // prefers the others for the next 14 requests.
     const std::uint32_t at = std::stoul(name.text().substr(1));
     const auto counts = pick_counts(14, fixture_.query(), true);
     if (GetParam() == routing_policy_kind::least_in_flight) {
@@ -131,7 +133,7 @@
     EXPECT_EQ(load.own_in_flight, 3U);
 }
 
-TEST_P(snapshot_router_test, picks_beside_publications_stay_valid) {
+TEST_P(snapshot_router_test, picks_during_publications_stay_valid) {
     fixture_.publish(router_);
     std::vector<std::thread> threads;
     threads.reserve(2);
@@ -173,7 +175,7 @@
                       routing_policy_kind::least_in_flight),
     name_of_case);
 
-/// What only the adaptive policy promises.
+/// Tests what only the adaptive policy guarantees.
 class adaptive_policy_test : public snapshot_router_test {};
 
 TEST_P(adaptive_policy_test, home_zone_comes_first_until_it_is_loaded) {
@@ -194,29 +196,29 @@
     EXPECT_EQ(last_code_, result_code::not_run_overloaded);
 }
 
-TEST_P(adaptive_policy_test, slow_upstream_gets_a_trickle_and_comes_back) {
+TEST_P(adaptive_policy_test, slow_upstream_gets_little_traffic_and_recovers) {
     fixture_.publish(router_);
     for (std::uint32_t at = 0; at < upstreams; ++at) {
-        finish_all(at, upstream_evidence::answered,
-                   std::chrono::microseconds(at == 0 ? 50'000 : 1'000));
+        finish_requests(at, upstream_evidence::answered,
+                        std::chrono::microseconds(at == 0 ? 50'000 : 1'000));
     }
     fixture_.publish(router_);
     const auto slow = pick_counts(1'000, fixture_.query());
     EXPECT_GT(slow[0], 0U);
     EXPECT_LT(slow[0], 120U);
-    // Cancelled requests say nothing about the latency.
-    finish_all(0, upstream_evidence::answered, {}, 80);
+    // Cancelled requests have no latency and must not end the reduced weight.
+    finish_requests(0, upstream_evidence::answered, {}, 80);
     fixture_.publish(router_);
     EXPECT_LT(pick_counts(1'000, fixture_.query())[0], 120U);
-    finish_all(0, upstream_evidence::answered, std::chrono::microseconds(1'000),
-               80);
+    finish_requests(0, upstream_evidence::answered,
+                    std::chrono::microseconds(1'000), 80);
     fixture_.publish(router_);
     EXPECT_GT(pick_counts(1'000, fixture_.query())[0], 300U);
 }
 
 TEST_P(adaptive_policy_test, failures_in_a_row_eject_before_control_knows) {
     fixture_.publish(router_);
-    finish_all(4, upstream_evidence::refused_connection, {}, 3);
+    finish_requests(4, upstream_evidence::refused_connection, {}, 3);
     EXPECT_LT(pick_counts(1'000, fixture_.query())[4], 120U);
 }
 
@@ -245,8 +247,8 @@
     EXPECT_EQ(pick_counts(20, query)[other], 20U);
 }
 
-TEST_P(adaptive_policy_test, nine_deciders_with_old_reports_do_not_herd) {
-    std::vector<std::unique_ptr<snapshot_router>> deciders;
+TEST_P(adaptive_policy_test, nine_routers_with_old_reports_do_not_herd) {
+    std::vector<std::unique_ptr<snapshot_router>> routers;
     fixture_.state(5).reported_load = 0;
     for (std::uint32_t at = 0; at < upstreams; ++at) {
         fixture_.state(at).reported_load = at == 5 ? 0 : 6;
@@ -254,17 +256,18 @@
     }
     std::vector<std::uint32_t> total(upstreams);
     for (std::uint64_t seed = 0; seed < 9; ++seed) {
-        snapshot_router decider(
+        snapshot_router router(
             availability_zone("z" + std::to_string(seed % 4)), seed);
-        fixture_.publish(decider);
+        fixture_.publish(router);
         for (int step = 0; step < 8; ++step) {
             const auto choice =
-                decider.pick(fixture_.query(), now_ + std::chrono::seconds(4));
+                router.pick(fixture_.query(), now_ + std::chrono::seconds(4));
             ++total[std::stoul(choice->upstream->name.text().substr(1))];
-            decider.begin(service_, choice->upstream->name);
+            router.begin(service_, choice->upstream->name);
         }
     }
-    // 72 requests; an even share is 9, and the idle one may get some more.
+    // An even share of the 72 requests is 9 for each upstream. The upstream
+    // that reported no load may get more, but not most of them.
     EXPECT_LE(total[5], 20U);
 }
 
