--- a/servers/limits/limit_message.hpp
+++ b/servers/limits/limit_message.hpp
@@ -9,8 +9,8 @@
 
 namespace savorydock {
 
-/// How much one caller asks of one service, in thousandths of a request a
-/// second.
+/// The request rate of one caller on one service. `demand` is in thousandths of
+/// a request per second.
 struct limit_demand {
     service_name service;
     caller_id caller;
@@ -19,11 +19,13 @@
 BOOST_DESCRIBE_STRUCT(limit_demand, (), (service, caller, demand))
 
 enum class limit_message_kind : std::uint8_t {
-    /// An instance's own demand, to the collectors of its zone.
+    /// The demand on one instance, sent to the collectors of its zone.
     report,
-    /// A zone's demand, between collectors.
+    /// The demand on a zone, sent between collectors of different zones.
     zone_sum,
-    /// The demand of all zones, from a collector to who reported.
+    /// The demand on all zones, sent by a collector to the instances that
+    /// report
+    /// to it.
     totals,
 };
 
--- a/servers/limits/limit_server.cpp
+++ b/servers/limits/limit_server.cpp
@@ -13,24 +13,30 @@
 namespace {
 
 constexpr std::chrono::seconds round_period{1};
+/// Demands are stored and sent in thousandths of a request per second.
 constexpr double thousandths = 1'000;
 constexpr std::size_t collectors_per_zone = 2;
-constexpr std::uint64_t second_collector_rounds = 3;
+/// The second collector of a zone sends totals in every third round only.
+constexpr std::uint64_t second_collector_interval_rounds = 3;
+/// A message with more demands is refused, as is any message while the tables
+/// of reports and zones exceed their limits.
 constexpr std::size_t max_demands = 4'096;
 constexpr std::size_t max_reporters = 4'096;
 constexpr std::size_t max_zones = 64;
-/// The weight of the newest second in the smoothed demand.
+/// Weight of the newest measurement in the smoothed demand.
 constexpr double smoothing = 0.5;
-/// From this part of missing instances on a cut is more likely than crashes.
-constexpr double cut_part = 0.2;
+/// If more than this fraction of the instances is missing, a network partition
+/// is more likely than crashes.
+constexpr double partition_loss_fraction = 0.2;
 
 template <class Map>
-void add(Map& sum, const Map& more) {
+void add_demands(Map& sum, const Map& more) {
     for (const auto& [key, demand] : more) {
         sum[key] += demand;
     }
 }
 
+/// Inserts a value at the front and drops the last one.
 template <class Values, class Value>
 void push_front(Values& values, Value value) {
     std::rotate(values.begin(), values.end() - 1, values.end());
@@ -44,7 +50,7 @@
     : options_(options)
     , members_(members)
     , limiter_(std::move(limiter)) {
-    parts_.fill(1);
+    usable_fractions_.fill(1);
 }
 
 void limit_server::on_configuration(
@@ -62,8 +68,9 @@
             }
             const limit_key key{name, rule.name};
             limited_caller& caller = next[key];
-            if (const auto held = callers_.find(key); held != callers_.end()) {
-                caller = std::move(held->second);
+            if (const auto previous = callers_.find(key);
+                previous != callers_.end()) {
+                caller = std::move(previous->second);
             }
             if (caller.limit != rule.requests_per_second) {
                 caller.limit = rule.requests_per_second;
@@ -85,34 +92,34 @@
     if (now - last_round_ < round_period) {
         return;
     }
-    measure(now - last_round_);
+    measure_demand(now - last_round_);
     last_round_ = now;
     ++rounds_;
     std::erase_if(reports_, [&](const auto& entry) {
-        return now - entry.second.at > options_.reserve_time;
+        return now - entry.second.received_at > options_.report_lifetime;
     });
-    std::erase_if(zones_, [&](const auto& entry) {
-        return now - entry.second.at > options_.reserve_time;
+    std::erase_if(zone_sums_, [&](const auto& entry) {
+        return now - entry.second.received_at > options_.report_lifetime;
     });
     if (callers_.empty()) {
         return;
     }
-    report(now, out);
+    send_report(now, out);
     if (is_collector()) {
-        exchange(now, out);
-        answer_members(now, out);
-        take_totals(all_demand(now), now);
+        send_zone_sums(now, out);
+        send_totals(now, out);
+        apply_totals(total_demand(now), now);
     }
-    share_out(now);
+    update_shares(now);
 }
 
-void limit_server::measure(std::chrono::duration<double> elapsed) {
+void limit_server::measure_demand(std::chrono::duration<double> elapsed) {
     for (auto& [key, caller] : callers_) {
         const double rate =
             static_cast<double>(caller.bucket->take_attempts()) /
             elapsed.count();
         caller.demand += smoothing * (rate - caller.demand);
-        push_front(caller.reports,
+        push_front(caller.recent_demands,
                    static_cast<std::uint64_t>(caller.demand * thousandths));
     }
 }
@@ -120,14 +127,14 @@
 limit_server::demand_map limit_server::own_demand() const {
     demand_map demands;
     for (const auto& [key, caller] : callers_) {
-        if (caller.reports.front() > 0) {
-            demands[key] = caller.reports.front();
+        if (caller.recent_demands.front() > 0) {
+            demands[key] = caller.recent_demands.front();
         }
     }
     return demands;
 }
 
-void limit_server::report(steady_time now, command_list& out) {
+void limit_server::send_report(steady_time now, command_list& out) {
     const demand_map demands = own_demand();
     const instance_id& self = members_.self().name;
     reports_[self] = {demands, now};
@@ -138,12 +145,12 @@
     }
 }
 
-void limit_server::exchange(steady_time now, command_list& out) {
+void limit_server::send_zone_sums(steady_time now, command_list& out) {
     std::set<availability_zone> others;
-    for (const auto& [name, held] : members_.members()) {
-        if (is_living(held.record.condition) &&
-            held.record.zone != members_.self().zone) {
-            others.insert(held.record.zone);
+    for (const auto& [name, member] : members_.members()) {
+        if (is_living(member.record.condition) &&
+            member.record.zone != members_.self().zone) {
+            others.insert(member.record.zone);
         }
     }
     const std::uint64_t rounds = 1 + others.size() / options_.zones_per_second;
@@ -158,15 +165,16 @@
     }
 }
 
-void limit_server::answer_members(steady_time now, command_list& out) {
-    // The second collector answers now and then, should the first be gone.
+void limit_server::send_totals(steady_time now, command_list& out) {
+    // The second collector sends totals less often, in case the first one has
+    // failed.
     const bool is_first =
         collectors(members_.self().zone).front() == members_.self().name;
-    if (!is_first && rounds_ % second_collector_rounds != 0) {
+    if (!is_first && rounds_ % second_collector_interval_rounds != 0) {
         return;
     }
-    const demand_map totals = all_demand(now);
-    for (const auto& [name, heard] : reports_) {
+    const demand_map totals = total_demand(now);
+    for (const auto& [name, received] : reports_) {
         if (name != members_.self().name) {
             send(limit_message_kind::totals, totals, name, out);
         }
@@ -175,29 +183,29 @@
 
 limit_server::demand_map limit_server::zone_demand(steady_time now) const {
     demand_map sum;
-    for (const auto& [name, heard] : reports_) {
-        if (now - heard.at <= options_.reserve_time) {
-            add(sum, heard.demands);
+    for (const auto& [name, received] : reports_) {
+        if (now - received.received_at <= options_.report_lifetime) {
+            add_demands(sum, received.demands);
         }
     }
     return sum;
 }
 
-limit_server::demand_map limit_server::all_demand(steady_time now) const {
+limit_server::demand_map limit_server::total_demand(steady_time now) const {
     demand_map sum = zone_demand(now);
-    for (const auto& [zone, heard] : zones_) {
-        if (now - heard.at <= options_.reserve_time) {
-            add(sum, heard.demands);
+    for (const auto& [zone, received] : zone_sums_) {
+        if (now - received.received_at <= options_.report_lifetime) {
+            add_demands(sum, received.demands);
         }
     }
     return sum;
 }
 
-void limit_server::take_totals(const demand_map& totals, steady_time now) {
+void limit_server::apply_totals(const demand_map& totals, steady_time now) {
     for (auto& [key, caller] : callers_) {
         const auto found = totals.find(key);
-        caller.total = found == totals.end() ? 0 : found->second;
-        caller.total_at = now;
+        caller.fleet_demand = found == totals.end() ? 0 : found->second;
+        caller.fleet_demand_at = now;
     }
 }
 
@@ -205,7 +213,7 @@
                                    command_list& out) {
     const auto body = wire::decode<limit_message>(message.body);
     if (!body || body->demands.size() > max_demands ||
-        reports_.size() > max_reporters || zones_.size() > max_zones) {
+        reports_.size() > max_reporters || zone_sums_.size() > max_zones) {
         ++counters_.messages_refused;
         out.push_back(log_command{log_event::peer_frame_refused,
                                   "topic=limits from=" + message.from.text()});
@@ -220,16 +228,16 @@
         reports_[message.from] = {std::move(demands), now};
         break;
     case limit_message_kind::zone_sum:
-        zones_[body->zone] = {std::move(demands), now};
+        zone_sums_[body->zone] = {std::move(demands), now};
         break;
     case limit_message_kind::totals:
-        take_totals(demands, now);
+        apply_totals(demands, now);
         break;
     }
 }
 
 template <class Value>
-Value limit_server::settled(const history<Value>& values) const {
+Value limit_server::min_over_settle_time(const history<Value>& values) const {
     const auto seconds = std::min<std::size_t>(
         static_cast<std::size_t>(options_.settle_time.count()) + 1,
         history_size);
@@ -237,39 +245,44 @@
         values.begin(), values.begin() + static_cast<std::ptrdiff_t>(seconds));
 }
 
-void limit_server::share_out(steady_time now) {
-    // When a cut heals, the sums of the other side come after its members.
-    push_front(parts_, reachable_part(now));
-    const double part = settled(parts_);
+void limit_server::update_shares(steady_time now) {
+    // When a partition heals, membership updates arrive before the other side's
+    // demand. The minimum over the settle time delays the increase.
+    push_front(usable_fractions_, usable_fraction(now));
+    const double fraction = min_over_settle_time(usable_fractions_);
     const auto count = static_cast<double>(members_.living_count());
     for (auto& [key, caller] : callers_) {
-        const double limit = caller.limit * part;
-        const auto own = static_cast<double>(settled(caller.reports));
-        const auto total = std::max(own, static_cast<double>(caller.total));
-        const bool is_stale = now - caller.total_at > options_.reserve_time;
+        const double limit = caller.limit * fraction;
+        const auto own =
+            static_cast<double>(min_over_settle_time(caller.recent_demands));
+        const auto total =
+            std::max(own, static_cast<double>(caller.fleet_demand));
+        const bool is_stale =
+            now - caller.fleet_demand_at > options_.report_lifetime;
         caller.share = limit / count;
         if (!is_stale && total > 0) {
-            caller.share = limit * (options_.even_part / count +
-                                    (1 - options_.even_part) * own / total);
+            caller.share = limit * (options_.even_fraction / count +
+                                    (1 - options_.even_fraction) * own / total);
         }
         caller.bucket->set_rate(caller.share, now);
     }
 }
 
-double limit_server::reachable_part(steady_time now) const {
+double limit_server::usable_fraction(steady_time now) const {
     double living = 1;
     double lost = 0;
-    double lost_lately = 0;
-    for (const auto& [name, held] : members_.members()) {
-        living += is_living(held.record.condition) ? 1 : 0;
-        if (held.record.condition == member_condition::dead) {
+    double recently_lost = 0;
+    for (const auto& [name, member] : members_.members()) {
+        living += is_living(member.record.condition) ? 1 : 0;
+        if (member.record.condition == member_condition::dead) {
             lost += 1;
-            lost_lately +=
-                now - held.changed_at <= options_.crash_reserve ? 1 : 0;
+            recently_lost +=
+                now - member.changed_at <= options_.crash_hold_time ? 1 : 0;
         }
     }
-    const bool is_cut = lost > cut_part * (living + lost);
-    return living / (living + (is_cut ? lost : lost_lately));
+    const bool is_partitioned =
+        lost > partition_loss_fraction * (living + lost);
+    return living / (living + (is_partitioned ? lost : recently_lost));
 }
 
 std::vector<instance_id>
@@ -281,8 +294,8 @@
         }
     };
     consider(members_.self());
-    for (const auto& [name, held] : members_.members()) {
-        consider(held.record);
+    for (const auto& [name, member] : members_.members()) {
+        consider(member.record);
     }
     std::sort(order.rbegin(), order.rend());
     std::vector<instance_id> chosen;
--- a/servers/limits/rate_limiter.hpp
+++ b/servers/limits/rate_limiter.hpp
@@ -16,8 +16,8 @@
     caller_id caller;
 };
 
-/// Orders keys, also against names that are only referred to, so that a
-/// lookup copies no text.
+/// Orders keys. Also compares them with references to names, so that a lookup
+/// doesn't copy strings.
 struct limit_key_less {
     using is_transparent = void;
     using view = std::tuple<const service_name&, const caller_id&>;
@@ -35,10 +35,10 @@
     std::map<limit_key, std::shared_ptr<token_bucket>, limit_key_less>;
 
 /// Admits requests within this instance's share of each caller's limit.
-/// Thread safe; `admit` takes no lock of its own and allocates nothing.
+/// Thread safe; `admit` uses no mutex and allocates nothing.
 class rate_limiter {
 public:
-    /// Whether the request may run. Callers without a limit always may.
+    /// Whether the request may run. Always true for callers without a limit.
     [[nodiscard]] bool admit(const service_name& service,
                              const caller_id& caller, steady_time now) const {
         const auto buckets = buckets_.load();
@@ -49,7 +49,8 @@
         return found == buckets->end() || found->second->admit(now);
     }
 
-    /// Replaces the limited callers. Called on the control thread.
+    /// Replaces the buckets of all limited callers. Called on the control
+    /// thread.
     void publish(std::shared_ptr<const bucket_map> buckets) {
         buckets_.store(std::move(buckets));
     }
--- a/servers/limits/token_bucket.cpp
+++ b/servers/limits/token_bucket.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 constexpr double nanoseconds_per_second = 1e9;
-/// Slower than one request in 1,000 s is the same as that.
+/// Minimum rate in requests per second; lower rates are raised to it.
 constexpr double min_rate = 1e-3;
 
+/// Time between two requests, in nanoseconds.
 std::int64_t interval_of(double requests_per_second) {
     return static_cast<std::int64_t>(nanoseconds_per_second /
                                      std::max(requests_per_second, min_rate));
@@ -27,13 +28,13 @@
     const std::int64_t time =
         std::chrono::nanoseconds(now.time_since_epoch()).count();
     const std::int64_t interval = interval_.load(std::memory_order_relaxed);
-    std::int64_t held = full_at_.load(std::memory_order_relaxed);
+    std::int64_t full_at = full_at_.load(std::memory_order_relaxed);
     while (true) {
-        const std::int64_t next = std::max(held, time) + interval;
+        const std::int64_t next = std::max(full_at, time) + interval;
         if (next - time > std::max(burst_, interval)) {
             return false;
         }
-        if (full_at_.compare_exchange_weak(held, next,
+        if (full_at_.compare_exchange_weak(full_at, next,
                                            std::memory_order_relaxed)) {
             return true;
         }
@@ -45,18 +46,19 @@
     const std::int64_t last = interval_.exchange(next);
     const std::int64_t time =
         std::chrono::nanoseconds(now.time_since_epoch()).count();
-    std::int64_t held = full_at_.load(std::memory_order_relaxed);
+    std::int64_t full_at = full_at_.load(std::memory_order_relaxed);
     std::int64_t scaled = 0;
     do {
-        if (held <= time) {
+        if (full_at <= time) {
             return;
         }
-        // The same number of tokens is owed, at the new rate.
-        const double owed =
-            static_cast<double>(held - time) / static_cast<double>(last);
-        scaled =
-            time + static_cast<std::int64_t>(owed * static_cast<double>(next));
-    } while (!full_at_.compare_exchange_weak(held, scaled,
+        // Keep the number of tokens that are missing from the bucket, and
+        // scale the time to refill them to the new rate.
+        const double tokens_owed =
+            static_cast<double>(full_at - time) / static_cast<double>(last);
+        scaled = time + static_cast<std::int64_t>(tokens_owed *
+                                                  static_cast<double>(next));
+    } while (!full_at_.compare_exchange_weak(full_at, scaled,
                                              std::memory_order_relaxed));
 }
 
--- a/servers/limits/token_bucket.hpp
+++ b/servers/limits/token_bucket.hpp
@@ -8,25 +8,27 @@
 
 namespace savorydock {
 
-/// A rate limit without a lock (the generic cell rate algorithm): it keeps
-/// the time at which the bucket would be full again. Thread safe.
+/// A lock-free rate limit (generic cell rate algorithm). Its state is the time
+/// at which the bucket will be full again. Thread safe.
 class token_bucket {
 public:
-    /// `burst` is how much time's worth of requests may come at once; one
-    /// request always may.
+    /// `burst` is the size of the bucket, as the time in which it fills at the
+    /// given rate. The bucket has room for one request at least.
     token_bucket(double requests_per_second, std::chrono::nanoseconds burst);
 
-    /// Takes a token, or returns false. Either way the attempt is counted.
+    /// Takes a token, or returns false if there is none. Counts the attempt in
+    /// both cases.
     [[nodiscard]] bool admit(steady_time now);
 
-    /// Changes the rate; what is owed stays the same number of requests.
-    /// One thread at a time may call it.
+    /// Changes the rate. The number of tokens missing from the bucket stays the
+    /// same. Must not be called by two threads at a time.
     void set_rate(double requests_per_second, steady_time now);
 
-    /// Attempts since the last call.
+    /// Returns the number of attempts since the last call, and resets it.
     [[nodiscard]] std::uint64_t take_attempts();
 
 private:
+    // Times are in nanoseconds; `full_at_` is on the steady clock.
     std::atomic<std::int64_t> interval_;
     std::atomic<std::int64_t> full_at_{0};
     std::atomic<std::uint64_t> attempts_{0};
--- a/tests/servers/limits/limit_server_test.cpp
+++ b/tests/servers/limits/limit_server_test.cpp
@@ -19,8 +19,8 @@
 const service_name service("chat");
 const caller_id caller("team");
 
-/// Nine instances in three zones that share one caller's limit, in virtual
-/// time. Membership is told by hand.
+/// Simulates nine instances in three zones that share one caller's limit, in
+/// virtual time. The test sets the membership explicitly.
 class limit_fleet {
 public:
     explicit limit_fleet(std::uint32_t lost_percent, std::uint64_t seed = 1)
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Runs with the given demand of each instance; returns the highest rate
-    /// admitted in any window, as a multiple of the limit.
+    /// Runs for `time` with `demand(i)` requests per second on instance `i`.
+    /// Returns the highest rate admitted in any window, as a multiple of the
+    /// limit.
     double run(std::chrono::seconds time,
                const std::function<double(std::size_t)>& demand) {
         double highest = 0;
@@ -68,20 +69,25 @@
         return highest;
     }
 
-    /// What was admitted in the last window, as a multiple of the limit.
+    /// The rate admitted in the last window, as a multiple of the limit.
     [[nodiscard]] double recent() const { return window_sum_ / window_limit; }
 
-    /// Cuts messages at once; membership notes it after a while.
-    void cut(std::function<bool(std::size_t, std::size_t)> is_cut) {
-        is_cut_ = std::move(is_cut);
+    /// Drops messages for which `is_blocked(from, to)` is true. Membership
+    /// learns of it only by `update_membership`.
+    void
+    block_messages(std::function<bool(std::size_t, std::size_t)> is_blocked) {
+        is_blocked_ = std::move(is_blocked);
     }
-    void tell_membership(std::uint64_t incarnation) {
+
+    /// Tells every instance that those it can't reach are dead and the others
+    /// live. A higher incarnation revives dead instances.
+    void update_membership(std::uint64_t incarnation) {
         for (std::size_t i = 0; i < node_count; ++i) {
             for (std::size_t j = 0; j < node_count; ++j) {
                 member_record record = record_of(j);
                 record.incarnation = incarnation;
                 nodes_[i]->members.merge(record, now_);
-                if (is_cut_ && is_cut_(i, j)) {
+                if (is_blocked_ && is_blocked_(i, j)) {
                     nodes_[i]->members.set_condition(
                         record.name, member_condition::dead, now_);
                 }
@@ -110,7 +116,7 @@
         std::shared_ptr<rate_limiter> limiter =
             std::make_shared<rate_limiter>();
         limit_server server{{}, members, limiter};
-        double owed = 0;
+        double requests_due = 0;
     };
 
     static member_record record_of(std::size_t at) {
@@ -123,8 +129,8 @@
     double offer(const std::function<double(std::size_t)>& demand) {
         double admitted = 0;
         for (std::size_t i = 0; i < node_count; ++i) {
-            nodes_[i]->owed += demand(i) * 0.05;
-            for (; nodes_[i]->owed >= 1; nodes_[i]->owed -= 1) {
+            nodes_[i]->requests_due += demand(i) * 0.05;
+            for (; nodes_[i]->requests_due >= 1; nodes_[i]->requests_due -= 1) {
                 admitted += nodes_[i]->limiter->admit(service, caller, now_);
             }
         }
@@ -156,7 +162,7 @@
             const auto& message = std::get<peer_message>(command);
             const bool is_lost =
                 random_.below(100) < lost_percent_ ||
-                (is_cut_ && is_cut_(from, index_of(message.to)));
+                (is_blocked_ && is_blocked_(from, index_of(message.to)));
             if (!is_lost) {
                 in_flight_.push_back(message);
             }
@@ -172,14 +178,14 @@
     steady_time now_ = steady_time{} + 1h;
     std::vector<std::unique_ptr<node>> nodes_;
     std::vector<peer_message> in_flight_;
-    std::function<bool(std::size_t, std::size_t)> is_cut_;
+    std::function<bool(std::size_t, std::size_t)> is_blocked_;
     std::deque<double> admitted_;
     double window_sum_ = 0;
     std::size_t steps_ = 0;
 };
 
-/// Window of 5 s, burst of half a second: a tenth over; the rest is the
-/// request that each bucket may always let through.
+/// In a window of 5 s the burst of 0.5 s adds a tenth of the limit. The rest
+/// allows for the one request that each bucket may always admit.
 constexpr double burst_bound = 1.12;
 
 class limit_loss_test : public testing::TestWithParam<std::uint32_t> {};
@@ -202,23 +208,24 @@
     EXPECT_LE(highest, burst_bound);
 }
 
-TEST_P(limit_loss_test, cut_fleet_stays_within_the_limit_and_recovers) {
+TEST_P(limit_loss_test, partitioned_fleet_stays_within_the_limit_and_recovers) {
     limit_fleet fleet(GetParam());
     const auto all = [](std::size_t) { return limit; };
     double highest = fleet.run(20s, all);
-    fleet.cut([](std::size_t from, std::size_t to) {
+    fleet.block_messages([](std::size_t from, std::size_t to) {
         return (from % 3 == 0) != (to % 3 == 0);
     });
     highest = std::max(highest, fleet.run(10s, all));
-    fleet.tell_membership(1);
-    // Only the small side asks: it must not take the other side's part.
+    fleet.update_membership(1);
+    // Only the smaller side has demand. It must not use the other side's part
+    // of the limit.
     const auto small = [](std::size_t at) { return at % 3 == 0 ? limit : 0; };
     highest = std::max(highest, fleet.run(40s, small));
     EXPECT_LT(fleet.recent(), 0.4);
     highest = std::max(highest, fleet.run(90s, all));
     EXPECT_GT(fleet.recent(), 0.85);
-    fleet.cut(nullptr);
-    fleet.tell_membership(2);
+    fleet.block_messages(nullptr);
+    fleet.update_membership(2);
     highest = std::max(highest, fleet.run(30s, all));
     EXPECT_GT(fleet.recent(), 0.85);
     RecordProperty("highest_thousandths", static_cast<int>(highest * 1000));
@@ -263,7 +270,7 @@
     EXPECT_TRUE(bucket.admit(start + 200ms));
 }
 
-TEST(limit_server_test, foreign_bytes_are_refused) {
+TEST(limit_server_test, undecodable_message_is_refused) {
     member_table members({.name = instance_id("a")});
     limit_server server({}, members, std::make_shared<rate_limiter>());
     command_list out;
