--- a/servers/explain/decision_log.cpp
+++ b/servers/explain/decision_log.cpp
@@ -18,20 +18,20 @@
     auto [found, is_new] = entries_.try_emplace(subject);
     if (is_new) {
         found->second.record.subject = subject;
-        found->second.began = now;
-        order_.push_back(subject);
+        found->second.first_decision_at = now;
+        insertion_order_.push_back(subject);
     }
     entry& target = found->second;
     what.elapsed = std::chrono::duration_cast<std::chrono::microseconds>(
-        now - target.began);
+        now - target.first_decision_at);
     if (target.record.decisions.size() >= options_.max_decisions_per_record) {
         ++target.record.dropped;
     } else {
         target.record.decisions.push_back(std::move(what));
     }
-    if (order_.size() > options_.max_records) {
-        entries_.erase(order_.front());
-        order_.pop_front();
+    if (insertion_order_.size() > options_.max_records) {
+        entries_.erase(insertion_order_.front());
+        insertion_order_.pop_front();
     }
 }
 
@@ -46,7 +46,7 @@
 
 std::size_t decision_log::size() const {
     const std::lock_guard lock(mutex_);
-    return order_.size();
+    return insertion_order_.size();
 }
 
 } // namespace savorydock
--- a/servers/explain/explain_server.cpp
+++ b/servers/explain/explain_server.cpp
@@ -10,40 +10,43 @@
 
 void explain_server::ask(const std::string& subject, answer_handler answer,
                          steady_time now, command_list& out) {
-    const std::uint64_t number = next_question_++;
-    question asked{
-        .found = {.subject = subject, .answered = {options_.instance}},
-        .waiting = {peers_.begin(), peers_.end()},
+    const std::uint64_t question_id = next_question_id_++;
+    pending_question pending{
+        .explanation_so_far = {.subject = subject,
+                               .answered = {options_.instance}},
+        .awaited_peers = {peers_.begin(), peers_.end()},
         .deadline = now + options_.timeout,
         .answer = std::move(answer),
     };
     decision_record own = decisions_.find(subject);
     if (!own.decisions.empty()) {
-        asked.found.records.emplace(options_.instance, std::move(own));
+        pending.explanation_so_far.records.emplace(options_.instance,
+                                                   std::move(own));
     }
-    if (asked.waiting.empty()) {
-        finish(asked);
+    if (pending.awaited_peers.empty()) {
+        finish(pending);
         return;
     }
-    const std::string body =
-        wire::encode(explain_message{.question = number, .subject = subject});
+    const std::string body = wire::encode(
+        explain_message{.question_id = question_id, .subject = subject});
     for (const instance_id& peer : peers_) {
         out.emplace_back(peer_message{.from = options_.instance,
                                       .to = peer,
                                       .topic = peer_topic::explain,
                                       .body = body});
     }
-    questions_.emplace(number, std::move(asked));
+    pending_questions_.emplace(question_id, std::move(pending));
 }
 
 void explain_server::on_tick(steady_time now, command_list&) {
-    for (auto current = questions_.begin(); current != questions_.end();) {
+    for (auto current = pending_questions_.begin();
+         current != pending_questions_.end();) {
         if (current->second.deadline > now) {
             ++current;
             continue;
         }
         finish(current->second);
-        current = questions_.erase(current);
+        current = pending_questions_.erase(current);
     }
 }
 
@@ -57,11 +60,11 @@
         return;
     }
     if (decoded->is_answer) {
-        take_answer(message.from, std::move(*decoded));
+        on_answer(message.from, std::move(*decoded));
         return;
     }
     const explain_message answer{
-        .question = decoded->question,
+        .question_id = decoded->question_id,
         .is_answer = true,
         .subject = decoded->subject,
         .record = decisions_.find(decoded->subject),
@@ -72,26 +75,29 @@
                                   .body = wire::encode(answer)});
 }
 
-void explain_server::take_answer(const instance_id& from,
-                                 explain_message message) {
-    const auto found = questions_.find(message.question);
-    if (found == questions_.end() || found->second.waiting.erase(from) == 0) {
+void explain_server::on_answer(const instance_id& from,
+                               explain_message message) {
+    const auto found = pending_questions_.find(message.question_id);
+    if (found == pending_questions_.end() ||
+        found->second.awaited_peers.erase(from) == 0) {
         return;
     }
-    question& asked = found->second;
-    asked.found.answered.push_back(from);
+    pending_question& pending = found->second;
+    pending.explanation_so_far.answered.push_back(from);
     if (!message.record.decisions.empty()) {
-        asked.found.records.emplace(from, std::move(message.record));
+        pending.explanation_so_far.records.emplace(from,
+                                                   std::move(message.record));
     }
-    if (asked.waiting.empty()) {
-        finish(asked);
-        questions_.erase(found);
+    if (pending.awaited_peers.empty()) {
+        finish(pending);
+        pending_questions_.erase(found);
     }
 }
 
-void explain_server::finish(question& asked) {
-    asked.found.silent.assign(asked.waiting.begin(), asked.waiting.end());
-    asked.answer(std::move(asked.found));
+void explain_server::finish(pending_question& pending) {
+    pending.explanation_so_far.silent.assign(pending.awaited_peers.begin(),
+                                             pending.awaited_peers.end());
+    pending.answer(std::move(pending.explanation_so_far));
 }
 
 } // namespace savorydock
--- a/servers/explain/explain_server.hpp
+++ b/servers/explain/explain_server.hpp
@@ -14,15 +14,16 @@
 
 namespace savorydock {
 
-/// Asks an instance for its record of a subject, or answers with it.
+/// Requests an instance's record of a subject, or is the answer to such a
+/// request.
 struct explain_message {
-    std::uint64_t question = 0;
+    std::uint64_t question_id = 0;
     bool is_answer = false;
     std::string subject;
     decision_record record;
 };
 BOOST_DESCRIBE_STRUCT(explain_message, (),
-                      (question, is_answer, subject, record))
+                      (question_id, is_answer, subject, record))
 
 /// The records of one subject from all instances that answered.
 struct explanation {
@@ -30,17 +31,18 @@
     std::map<instance_id, decision_record> records;
     /// Instances that answered, with or without a record.
     std::vector<instance_id> answered;
+    /// Instances that didn't answer within the timeout.
     std::vector<instance_id> silent;
 };
 
 struct explain_options {
     instance_id instance;
-    /// How long peers are waited for.
+    /// How long to wait for answers of peers.
     std::chrono::milliseconds timeout{1'000};
 };
 
-/// Finds the decisions about a subject on whichever instance has them. The
-/// log must outlive the server.
+/// Collects the decision records about a subject from all instances, and
+/// answers such requests from the local log. The log must outlive the server.
 class explain_server final : public control_server {
 public:
     using answer_handler = std::function<void(explanation)>;
@@ -53,11 +55,11 @@
         return peer_topic::explain;
     }
 
-    /// Takes the instances that may be asked.
+    /// Sets the instances to ask.
     void set_peers(std::vector<instance_id> peers);
 
-    /// Asks all peers; calls `answer` once, when all have answered or the
-    /// timeout has passed.
+    /// Asks all peers. Calls `answer` once, when all have answered or the
+    /// timeout has passed; at once if there are no peers.
     void ask(const std::string& subject, answer_handler answer, steady_time now,
              command_list& out);
 
@@ -66,21 +68,21 @@
                          command_list& out) override;
 
 private:
-    struct question {
-        explanation found;
-        std::set<instance_id> waiting;
+    struct pending_question {
+        explanation explanation_so_far;
+        std::set<instance_id> awaited_peers;
         steady_time deadline{};
         answer_handler answer;
     };
 
-    void take_answer(const instance_id& from, explain_message message);
-    static void finish(question& asked);
+    void on_answer(const instance_id& from, explain_message message);
+    static void finish(pending_question& pending);
 
     explain_options options_;
     const decision_log& decisions_;
     std::vector<instance_id> peers_;
-    std::map<std::uint64_t, question> questions_;
-    std::uint64_t next_question_ = 1;
+    std::map<std::uint64_t, pending_question> pending_questions_;
+    std::uint64_t next_question_id_ = 1;
 };
 
 } // namespace savorydock
