--- a/servers/explain/explain_server.cpp
+++ b/servers/explain/explain_server.cpp
@@ -10,7 +10,7 @@
 
 void explain_server::ask(const std::string& subject, answer_handler answer,
                          steady_time now, command_list& out) {
-    const std::uint64_t question_id = next_question_id_++;
+    const std::uint64_t new_id = next_question_id_++;
     pending_question pending{
         .explanation_so_far = {.subject = subject,
                                .answered = {options_.instance}},
@@ -28,14 +28,14 @@
         return;
     }
     const std::string body = wire::encode(
-        explain_message{.question_id = question_id, .subject = subject});
+        explain_message{.question_id = new_id, .subject = subject});
     for (const instance_id& peer : peers_) {
         out.emplace_back(peer_message{.from = options_.instance,
                                       .to = peer,
                                       .topic = peer_topic::explain,
                                       .body = body});
     }
-    pending_questions_.emplace(question_id, std::move(pending));
+    pending_questions_.emplace(new_id, std::move(pending));
 }
 
 void explain_server::on_tick(steady_time now, command_list&) {
--- a/servers/routing/adaptive_policy.cpp
+++ b/servers/routing/adaptive_policy.cpp
@@ -59,11 +59,11 @@
         const std::chrono::duration<double> half = options_.report_half_life;
         report_weight = std::exp2(-std::max(0.0, age / half));
     }
-    const double load_by_others =
+    const double others_load =
         report_weight * upstream.load_by_others +
         (1 - report_weight) * state.service.mean_load_by_others * slots;
     const double own = state.service.layout->counters[position]->in_flight();
-    return (own + load_by_others) / slots;
+    return (own + others_load) / slots;
 }
 
 bool adaptive_policy::is_eligible(const search& state,
--- a/servers/routing/least_in_flight_policy.cpp
+++ b/servers/routing/least_in_flight_policy.cpp
@@ -16,12 +16,12 @@
             start_.fetch_add(1, std::memory_order_relaxed);
         for (std::uint32_t step = 0; step < count; ++step) {
             const std::uint32_t at = (start + step) % count;
-            const std::uint32_t in_flight =
+            const std::uint32_t requests =
                 service.layout->counters[at]->in_flight();
-            if (in_flight < lowest &&
+            if (requests < lowest &&
                 service.upstreams[at].condition == wanted &&
                 may_serve(service, at, query)) {
-                lowest = in_flight;
+                lowest = requests;
                 best = at;
             }
         }
--- a/servers/routing/upstream_counters.cpp
+++ b/servers/routing/upstream_counters.cpp
@@ -32,9 +32,9 @@
 
 void upstream_counters::finish(upstream_evidence evidence,
                                std::chrono::microseconds latency) {
-    std::uint32_t in_flight = in_flight_.load(std::memory_order_relaxed);
-    while (in_flight > 0 &&
-           !in_flight_.compare_exchange_weak(in_flight, in_flight - 1,
+    std::uint32_t current = in_flight_.load(std::memory_order_relaxed);
+    while (current > 0 &&
+           !in_flight_.compare_exchange_weak(current, current - 1,
                                              std::memory_order_relaxed)) {
     }
     if (evidence == upstream_evidence::said_leaving) {
