--- a/core/base64.hpp
+++ b/core/base64.hpp
@@ -7,10 +7,10 @@
 
 namespace savorydock {
 
-/// Returns the padded base64 form. Thread safe.
+/// Encodes bytes as padded base64. Thread safe.
 [[nodiscard]] std::string to_base64(std::string_view bytes);
 
-/// Reads padded base64. Errors: `bad_frame`. Thread safe.
+/// Decodes padded base64. Errors: `bad_frame`. Thread safe.
 [[nodiscard]] outcome<std::string> from_base64(std::string_view text);
 
 } // namespace savorydock
--- a/core/boot_clock.hpp
+++ b/core/boot_clock.hpp
@@ -5,8 +5,9 @@
 
 namespace savorydock {
 
-/// Monotonic time that also counts while the machine is suspended. Leases are
-/// judged by it: the store's clock runs on through a suspension.
+/// Monotonic clock that keeps counting while the machine is suspended. Lease
+/// expiry is measured with it because the store's clock keeps running during
+/// a suspension of this machine.
 class boot_clock {
 public:
     using duration = std::chrono::nanoseconds;
--- a/core/clock.hpp
+++ b/core/clock.hpp
@@ -4,15 +4,16 @@
 
 namespace savorydock {
 
-/// The time line of all decisions: monotonic, comparable in one process only.
+/// The point in time that all decisions are based on: monotonic, comparable
+/// only within one process.
 using steady_time = std::chrono::steady_clock::time_point;
 
-/// Where decision code takes the time from. Implementations are thread safe.
+/// The clock interface for decision code. Implementations are thread safe.
 class clock_source {
 public:
     virtual ~clock_source() = default;
 
-    /// The current monotonic time.
+    /// Returns the current monotonic time.
     [[nodiscard]] virtual steady_time now() const = 0;
 };
 
--- a/core/endpoint.cpp
+++ b/core/endpoint.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool is_ip_number(const std::string& text) {
+bool is_ip_address(const std::string& text) {
     in6_addr storage{};
     return inet_pton(AF_INET, text.c_str(), &storage) == 1 ||
            inet_pton(AF_INET6, text.c_str(), &storage) == 1;
@@ -17,7 +17,7 @@
 
 outcome<endpoint> parse_endpoint(std::string_view text) {
     const failure malformed{result_code::invalid_document,
-                            "an IP number and a port, as 127.0.0.1:8080"};
+                            "an IP address and a port, such as 127.0.0.1:8080"};
     const std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) {
         return malformed;
@@ -32,7 +32,7 @@
         std::from_chars(digits.data(), digits.data() + digits.size(), port);
     const bool is_port = error == std::errc() && !digits.empty() &&
                          end == digits.data() + digits.size();
-    if (!is_port || !is_ip_number(std::string(host))) {
+    if (!is_port || !is_ip_address(std::string(host))) {
         return malformed;
     }
     return endpoint{.address = std::string(host), .port = port};
--- a/core/endpoint.hpp
+++ b/core/endpoint.hpp
@@ -11,7 +11,7 @@
 
 namespace savorydock {
 
-/// An IP number and a port.
+/// An IP address and a port.
 struct endpoint {
     std::string address;
     std::uint16_t port = 0;
@@ -20,16 +20,17 @@
 };
 BOOST_DESCRIBE_STRUCT(endpoint, (), (address, port))
 
-/// Reads "a.b.c.d:port" or "[v6]:port". Names are refused: processes talk by
-/// IP numbers. Errors: `invalid_document`. Thread safe.
+/// Parses "a.b.c.d:port" or "[v6]:port". Host names are rejected: processes
+/// address each other only by IP address. Errors: `invalid_document`. Thread
+/// safe.
 [[nodiscard]] outcome<endpoint> parse_endpoint(std::string_view text);
 
-/// Reads one or more addresses separated by commas. Errors:
+/// Parses one or more addresses separated by commas. Errors:
 /// `invalid_document`. Thread safe.
 [[nodiscard]] outcome<std::vector<endpoint>>
 parse_endpoints(std::string_view text);
 
-/// Returns the text that `parse_endpoint` reads. Thread safe.
+/// Formats an endpoint as `parse_endpoint` accepts it. Thread safe.
 [[nodiscard]] std::string to_text(const endpoint& target);
 
 } // namespace savorydock
--- a/core/http_message.hpp
+++ b/core/http_message.hpp
@@ -13,14 +13,14 @@
 
 using http_headers = std::vector<http_header>;
 
-/// Returns the value of the first header of that name (case does not
-/// matter), or an empty text. Thread safe.
+/// Returns the value of the first header with that name (case-insensitive),
+/// or an empty string. Thread safe.
 [[nodiscard]] std::string_view find_header(const http_headers& headers,
                                            std::string_view name);
 
 struct http_request {
     std::string method = "GET";
-    /// Path and query.
+    /// The path and the query.
     std::string target = "/";
     http_headers headers;
     std::string body;
@@ -28,7 +28,7 @@
     [[nodiscard]] std::string_view header(std::string_view name) const {
         return find_header(headers, name);
     }
-    /// The target without its query.
+    /// Returns the target without its query.
     [[nodiscard]] std::string_view path() const {
         return std::string_view(target).substr(0, target.find('?'));
     }
--- a/core/ids.hpp
+++ b/core/ids.hpp
@@ -8,8 +8,9 @@
 
 namespace savorydock {
 
-/// A text identifier that can't be mixed up with one of another kind.
-/// Value type; as thread safe as std::string.
+/// A string identifier. The tag makes each kind of identifier a separate type,
+/// so that the compiler rejects mixing them. A value type; as thread safe as
+/// std::string.
 template <class Tag>
 class text_id {
 public:
@@ -38,16 +39,18 @@
 using idempotency_key = text_id<struct idempotency_tag>;
 using class_name = text_id<struct class_tag>;
 
-/// A version of model weights; versions of one service only grow.
+/// A version of model weights; the versions of one service only increase.
 using weight_version = std::uint64_t;
 
-/// A revision of the platform's store; it grows with every write there.
+/// A revision of the platform's store; every write increases it.
 using store_revision = std::uint64_t;
 
-/// A number that orders the orders of successive lease holders.
+/// A fencing token: each later holder of a lease sends its orders with a
+/// higher number, so that upstreams can refuse orders of earlier holders.
 using fencing_number = std::uint64_t;
 
-/// Names one sample of a trainer's step before any work on it starts.
+/// Identifies one sample of a trainer's step; assigned before any work on the
+/// sample starts.
 struct slot_id {
     std::string trainer;
     std::uint64_t step = 0;
@@ -63,7 +66,7 @@
            std::to_string(slot.group) + '/' + std::to_string(slot.index);
 }
 
-/// The version that produced the tokens [first, last) of one answer.
+/// The weight version that generated the tokens [first, last) of an answer.
 struct version_range {
     std::uint32_t first = 0;
     std::uint32_t last = 0;
--- a/core/instance_settings.cpp
+++ b/core/instance_settings.cpp
@@ -24,7 +24,7 @@
     const std::string text = reader.text(name);
     const auto parsed = parse_endpoint(text);
     if (!parsed && !text.empty()) {
-        reader.complain(name, parsed.reason().detail);
+        reader.report_fault(name, parsed.reason().detail);
     }
     return parsed ? *parsed : endpoint{};
 }
@@ -57,13 +57,13 @@
     for (const std::string& text : root.texts("platform")) {
         const auto parsed = parse_endpoint(text);
         if (!parsed) {
-            root.complain("platform", parsed.reason().detail);
+            root.report_fault("platform", parsed.reason().detail);
             continue;
         }
         settings.platform.push_back(*parsed);
     }
     if (settings.platform.empty()) {
-        root.complain("platform", "at least one address");
+        root.report_fault("platform", "at least one address");
     }
 }
 
--- a/core/instance_settings.hpp
+++ b/core/instance_settings.hpp
@@ -12,27 +12,29 @@
 
 namespace savorydock {
 
-/// Another instance that this one may ask at start.
+/// Another instance that this one may query when it starts.
 struct peer_rule {
     instance_id name;
     availability_zone zone;
     endpoint address;
 };
 
-/// Limits that keep one caller from harming others.
+/// Limits that keep one caller from using up the resources of the others.
 struct caller_limits {
     std::uint32_t max_connections = 10'000;
     std::uint32_t max_header_bytes = 16'384;
     std::uint32_t max_body_bytes = 8'388'608;
-    /// How long a caller may take over one read or write.
+    /// How long one read from or write to a caller may take.
     std::chrono::milliseconds io_timeout{15'000};
 };
 
-/// Times of the orders to upstreams; the same on all instances.
+/// Time limits for orders to upstreams. All instances must have the same
+/// values.
 struct order_limits {
-    /// How long the platform keeps a holder of orders that has gone.
+    /// How long the platform keeps the lease of an instance that has stopped
+    /// renewing it.
     std::chrono::seconds lease_time{15};
-    /// The longest that an order to an upstream may take.
+    /// The maximum duration of an order to an upstream.
     std::chrono::milliseconds longest_order{30'000};
 };
 
@@ -43,11 +45,11 @@
     endpoint caller_listen;
     endpoint operator_listen;
     endpoint peer_listen;
-    /// The secret that operators present.
+    /// The secret that authenticates operators.
     std::string operator_key;
-    /// The secret that instances present to each other.
+    /// The secret that authenticates instances to each other.
     std::string peer_key;
-    /// Addresses of the platform's store, tried in turn.
+    /// The addresses of the platform's store, tried in this order.
     std::vector<endpoint> platform;
     std::vector<peer_rule> peers;
     std::uint32_t traffic_threads = 2;
@@ -59,12 +61,13 @@
     order_limits orders;
 };
 
-/// Reads and checks an instance's settings (JSON with comments).
-/// Errors: `invalid_settings` with all faults. Thread safe.
+/// Parses and validates the settings of an instance (JSON with comments).
+/// Errors: `invalid_settings`, with all faults. Thread safe.
 [[nodiscard]] outcome<instance_settings>
 parse_instance_settings(std::string_view text);
 
-/// Reads a settings file. Errors: `not_found`, `invalid_settings`.
+/// Reads and validates a settings file. Errors: `not_found`,
+/// `invalid_settings`.
 [[nodiscard]] outcome<instance_settings>
 load_instance_settings(const std::string& file);
 
--- a/core/latency_histogram.cpp
+++ b/core/latency_histogram.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// With fewer values than this the estimator's markers are not yet apart.
-constexpr std::size_t least_values = 20;
+/// The estimator's markers are too close together with fewer values.
+constexpr std::size_t min_values = 20;
 
 } // namespace
 
@@ -28,8 +28,8 @@
 std::array<std::uint64_t, latency_histogram::bounds.size()>
 latency_histogram::cumulative_counts() const {
     auto counts = counts_;
-    for (std::size_t at = 1; at < counts.size(); ++at) {
-        counts[at] += counts[at - 1];
+    for (std::size_t index = 1; index < counts.size(); ++index) {
+        counts[index] += counts[index - 1];
     }
     return counts;
 }
@@ -37,16 +37,16 @@
 std::array<std::chrono::duration<double>, latency_histogram::quantiles.size()>
 latency_histogram::quantile_values() const {
     std::array<std::chrono::duration<double>, quantiles.size()> values{};
-    if (count() < least_values) {
-        // Nothing better is known than the largest so far.
+    if (count() < min_values) {
+        // Too few values for an estimate: reports the largest so far.
         values.fill(std::chrono::duration<double>(
             count() == 0 ? 0 : boost::accumulators::max(estimate_)));
         return values;
     }
     const auto heights = boost::accumulators::extended_p_square(estimate_);
-    for (std::size_t at = 0; at < values.size(); ++at) {
-        values[at] = std::chrono::duration<double>(
-            heights[static_cast<std::ptrdiff_t>(at)]);
+    for (std::size_t index = 0; index < values.size(); ++index) {
+        values[index] = std::chrono::duration<double>(
+            heights[static_cast<std::ptrdiff_t>(index)]);
     }
     return values;
 }
--- a/core/latency_histogram.hpp
+++ b/core/latency_histogram.hpp
@@ -13,29 +13,30 @@
 
 namespace savorydock {
 
-/// The distribution of a time: bounds for a histogram and quantiles, both in
-/// constant memory. Boost.Accumulators' own histogram (`density`) places its
-/// bins by the first samples, which can't be summed over instances; counts
-/// under fixed bounds are kept beside its quantiles. Not thread safe.
+/// The distribution of a duration in constant memory: counts in buckets with
+/// fixed bounds, and estimated quantiles. The quantiles are from
+/// Boost.Accumulators; its histogram (`density`) isn't used, because it places
+/// the buckets by the first samples, so that the counts of several instances
+/// can't be added up. Not thread safe.
 class latency_histogram {
 public:
-    /// Upper bounds of the counted ranges, in seconds.
+    /// Upper bounds of the buckets, in seconds.
     static constexpr std::array bounds{0.001, 0.0025, 0.005, 0.01, 0.025, 0.05,
                                        0.1,   0.25,   0.5,   1.0,  2.5,   5.0,
                                        10.0,  30.0,   60.0,  180.0};
 
-    /// The quantiles that are kept.
+    /// The quantiles that are estimated.
     static constexpr std::array quantiles{0.5, 0.9, 0.99};
 
     latency_histogram();
 
     void add(std::chrono::duration<double> value);
 
-    /// Values at or below each bound, as Prometheus counts them.
+    /// The number of values at or below each bound, as in Prometheus.
     [[nodiscard]] std::array<std::uint64_t, bounds.size()>
     cumulative_counts() const;
 
-    /// Estimates of `quantiles`, in their order; zero before the first value.
+    /// Estimates of `quantiles`, in the same order; zero without values.
     [[nodiscard]] std::array<std::chrono::duration<double>, quantiles.size()>
     quantile_values() const;
     [[nodiscard]] std::uint64_t count() const;
--- a/core/log_event.hpp
+++ b/core/log_event.hpp
@@ -6,9 +6,9 @@
 
 namespace savorydock {
 
-/// Numbered log events. The numbers are part of the operators' interface:
-/// never renumber one. docs/LOG_EVENTS.md has the catalogue, which a test
-/// compares with `all_log_events`.
+/// Numbered log events. Operators' tools rely on the numbers, so never
+/// renumber an event. docs/LOG_EVENTS.md lists all events; a test compares it
+/// with `all_log_events`.
 enum class log_event : std::uint16_t {
     instance_started = 1000,
     instance_stopped = 1001,
@@ -94,10 +94,10 @@
     log_lines_dropped = 3602,
 };
 
-/// How urgent an event is.
+/// The severity of an event.
 enum class log_level : std::uint8_t { debug, info, warning, error };
 
-/// One row of the catalogue.
+/// One row of the table of events.
 struct log_event_entry {
     log_event event;
     log_level level;
@@ -105,7 +105,7 @@
     std::string_view meaning;
 };
 
-/// Returns the row of an event. Precondition: it is listed. Thread safe.
+/// Returns the row of an event. Precondition: the event has one. Thread safe.
 [[nodiscard]] const log_event_entry& describe(log_event event);
 
 /// Returns all rows in the order of their numbers. Thread safe.
--- a/core/logger.hpp
+++ b/core/logger.hpp
@@ -6,7 +6,7 @@
 
 namespace savorydock {
 
-/// Where numbered events go. Implementations are thread safe.
+/// The interface for writing log events. Implementations are thread safe.
 class logger {
 public:
     virtual ~logger() = default;
@@ -15,7 +15,7 @@
     virtual void write(log_event event, std::string_view detail) = 0;
 };
 
-/// A logger that drops everything, for tools and tests.
+/// A logger that discards all events, for tools and tests.
 class null_logger final : public logger {
 public:
     void write(log_event, std::string_view) override {}
--- a/core/metrics_registry.cpp
+++ b/core/metrics_registry.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-/// Escapes a label's value as the format wants it.
+/// Escapes a label value as the Prometheus text format requires.
 std::string escape(std::string_view text) {
     std::string escaped;
-    for (const char letter : text) {
-        if (letter == '\n') {
+    for (const char character : text) {
+        if (character == '\n') {
             escaped += "\\n";
             continue;
         }
-        if (letter == '"' || letter == '\\') {
+        if (character == '"' || character == '\\') {
             escaped += '\\';
         }
-        escaped += letter;
+        escaped += character;
     }
     return escaped;
 }
@@ -32,9 +32,10 @@
                      const std::string& labels,
                      const latency_histogram& histogram) {
     const auto counts = histogram.cumulative_counts();
-    for (std::size_t at = 0; at < counts.size(); ++at) {
+    for (std::size_t index = 0; index < counts.size(); ++index) {
         out << name << "_bucket{" << labels << ",le=\""
-            << latency_histogram::bounds[at] << "\"} " << counts[at] << '\n';
+            << latency_histogram::bounds[index] << "\"} " << counts[index]
+            << '\n';
     }
     out << name << "_bucket{" << labels << ",le=\"+Inf\"} " << histogram.count()
         << '\n'
@@ -46,10 +47,10 @@
                      const std::string& labels,
                      const latency_histogram& histogram) {
     const auto values = histogram.quantile_values();
-    for (std::size_t at = 0; at < values.size(); ++at) {
+    for (std::size_t index = 0; index < values.size(); ++index) {
         out << name << "_quantile{" << labels << ",quantile=\""
-            << latency_histogram::quantiles[at] << "\"} " << values[at].count()
-            << '\n';
+            << latency_histogram::quantiles[index] << "\"} "
+            << values[index].count() << '\n';
     }
 }
 
@@ -72,7 +73,7 @@
 
 std::string metrics_registry::write_text() const {
     const std::lock_guard lock(mutex_);
-    // The format wants all lines of one name together.
+    // The format requires that all lines of a metric are adjacent.
     std::map<std::string, std::map<std::string, const latency_histogram*>>
         by_name;
     for (const auto& [key, histogram] : series_) {
--- a/core/metrics_registry.hpp
+++ b/core/metrics_registry.hpp
@@ -12,27 +12,29 @@
 
 namespace savorydock {
 
-/// What a histogram is about.
+/// Identifies a histogram.
 struct metric_key {
     service_name service;
     class_name class_of_service;
-    /// A name of the code's own, such as "request_seconds".
+    /// The metric's name in the code, such as "request_seconds".
     std::string name;
 
     auto operator<=>(const metric_key&) const = default;
 };
 
-/// Histograms for each service and class, bounded in number: what comes once
-/// it is full is counted under the class "other". Every method is thread safe.
+/// Histograms by service, class and metric name. To bound memory, values for
+/// new keys are counted under the service and class "other" once there are
+/// `max_series` histograms. All methods are thread safe.
 class metrics_registry {
 public:
     explicit metrics_registry(std::size_t max_series = 512)
         : max_series_(max_series) {}
 
-    /// Precondition: `key.name` is a valid Prometheus name without prefix.
+    /// Precondition: `key.name` is a valid Prometheus name without the
+    /// "savorydock_" prefix.
     void observe(const metric_key& key, std::chrono::duration<double> value);
 
-    /// All series in the Prometheus text format, quantiles as gauges.
+    /// Returns all series in the Prometheus text format; quantiles are gauges.
     [[nodiscard]] std::string write_text() const;
 
 private:
--- a/core/node_settings.hpp
+++ b/core/node_settings.hpp
@@ -10,37 +10,38 @@
 
 namespace savorydock {
 
-/// Rates that the platform's store grants to all instances together.
+/// Limits of the platform's store. The rates apply to all instances together.
 struct store_limits {
     endpoint address;
-    /// Calls a second; a renewal of a lease counts as a tenth of a read.
+    /// Calls per second; a lease renewal counts as a tenth of a read.
     double writes_per_second = 0;
     double reads_per_second = 0;
-    /// Largest value of one key.
+    /// The maximum size of one key's value.
     std::size_t max_value_bytes = 1'048'576;
-    /// Shortest time to live of a lease.
+    /// The minimum time to live of a lease.
     std::chrono::milliseconds min_lease_time{1'000};
 };
 
-/// What one instance learns of itself and its machine at start.
+/// Settings of an instance and its machine, read when the instance starts.
 struct node_settings {
     instance_id instance;
     availability_zone zone;
-    /// Where callers connect; absent on instances without caller traffic.
+    /// The address for callers; absent on instances without caller traffic.
     std::optional<endpoint> caller_listen;
-    /// Where the platform asks whether the instance is ready.
+    /// The address for the platform's readiness probes.
     std::optional<endpoint> ready_listen;
-    /// The machine's own address, and the first port free for internal use.
+    /// The IP address of the machine, and the first port for internal use.
     std::string address;
     std::uint16_t internal_port = 0;
-    /// Share of one processor core that the machine grants.
+    /// The share of one processor core that the instance may use.
     double processor_share = 1.0;
     store_limits store;
-    /// Period at which upstreams renew their entries in the store.
+    /// The period at which upstreams renew their entries in the store.
     std::chrono::milliseconds upstream_heartbeat{1'200};
-    /// Time between the signal to end and the kill.
+    /// The time between the termination signal and the kill signal.
     std::chrono::milliseconds shutdown_grace{8'000};
-    /// How long two holders of one scope must lie apart.
+    /// The minimum time between two successive holders of a scope; also the
+    /// time to live of the holders' leases.
     std::chrono::milliseconds holder_separation{3'000};
 };
 
--- a/core/object_reader.cpp
+++ b/core/object_reader.cpp
@@ -46,7 +46,8 @@
     return failure{result_code::invalid_json,
                    "line " + std::to_string(line) + ", column " +
                        std::to_string(consumed - line_start + 1) + ": " +
-                       (error ? error.message() : "text after the end")};
+                       (error ? error.message()
+                              : "unexpected text after the end of the value")};
 }
 
 object_reader::object_reader(const json::value& value, std::string path,
@@ -67,7 +68,7 @@
     return path_.empty() ? std::string(name) : path_ + '.' + std::string(name);
 }
 
-void object_reader::complain(std::string_view name, std::string expected) {
+void object_reader::report_fault(std::string_view name, std::string expected) {
     faults_.push_back({member_path(name), std::move(expected)});
 }
 
@@ -79,7 +80,7 @@
     }
     const json::value* const found = object_->if_contains(name);
     if (found == nullptr && is_required) {
-        complain(name, "a value; it is missing");
+        report_fault(name, "a value; it is missing");
     }
     return found;
 }
@@ -92,7 +93,7 @@
     }
     const json::string* const text = found->if_string();
     if (text == nullptr || text->empty()) {
-        complain(name, "a text that is not empty");
+        report_fault(name, "a text that is not empty");
         return fallback.value_or("");
     }
     return std::string(*text);
@@ -109,8 +110,8 @@
                             ? found->to_number<std::int64_t>(error)
                             : range.low - 1;
     if (error || number < range.low || number > range.high) {
-        complain(name, "a whole number from " + std::to_string(range.low) +
-                           " to " + std::to_string(range.high));
+        report_fault(name, "a whole number from " + std::to_string(range.low) +
+                               " to " + std::to_string(range.high));
         return fallback.value_or(range.low);
     }
     return number;
@@ -132,8 +133,8 @@
     const double number =
         found->is_number() ? found->to_number<double>(error) : low - 1;
     if (error || number < low || number > high) {
-        complain(name, "a number from " + std::to_string(low) + " to " +
-                           std::to_string(high));
+        report_fault(name, "a number from " + std::to_string(low) + " to " +
+                               std::to_string(high));
         return fallback.value_or(low);
     }
     return number;
@@ -146,7 +147,7 @@
         return fallback.value_or(false);
     }
     if (!found->is_bool()) {
-        complain(name, "true or false");
+        report_fault(name, "true or false");
         return fallback.value_or(false);
     }
     return found->get_bool();
@@ -171,7 +172,7 @@
         listed +=
             (listed.empty() ? "\"" : ", \"") + std::string(candidate) + '"';
     }
-    complain(name, "one of " + listed);
+    report_fault(name, "one of " + listed);
     return fallback.value_or(0);
 }
 
@@ -194,7 +195,7 @@
     }
     const json::array* const list = found->if_array();
     if (list == nullptr) {
-        complain(name, "a list of objects");
+        report_fault(name, "a list of objects");
         return;
     }
     for (std::size_t i = 0; i < list->size(); ++i) {
@@ -218,7 +219,7 @@
         std::all_of(list->begin(), list->end(),
                     [](const json::value& v) { return v.is_string(); });
     if (!is_valid) {
-        complain(name, "a list of texts");
+        report_fault(name, "a list of texts");
         return texts;
     }
     for (const json::value& element : *list) {
@@ -233,7 +234,7 @@
     }
     for (const auto& member : *object_) {
         if (!known_.contains(std::string_view(member.key()))) {
-            complain(member.key(), "no such member; it is unknown");
+            report_fault(member.key(), "no such member; it is unknown");
         }
     }
 }
--- a/core/object_reader.hpp
+++ b/core/object_reader.hpp
@@ -16,7 +16,7 @@
 
 namespace savorydock {
 
-/// One fault of a document: where it is and what was expected there.
+/// A fault in a document: its location and what was expected there.
 struct document_fault {
     std::string path;
     std::string expected;
@@ -26,20 +26,19 @@
 [[nodiscard]] std::string to_text(std::span<const document_fault> faults);
 
 /// Parses JSON with comments and trailing commas.
-/// Errors: `invalid_json` with line and column. Thread safe.
+/// Errors: `invalid_json`, with line and column. Thread safe.
 [[nodiscard]] outcome<boost::json::value>
 parse_commented_json(std::string_view text);
 
-/// The range that a number of a document must lie in.
+/// The range of valid values for a number, both ends included.
 struct integer_range {
     std::int64_t low = 0;
     std::int64_t high = 0;
 };
 
-/// Reads the members of one JSON object and collects every fault, so that a
-/// person can mend all of them at once. A member that is missing or wrong
-/// reads as its fallback. Not thread safe; `value` and `faults` must outlive
-/// the reader.
+/// Reads the members of one JSON object and collects all faults, so that the
+/// author can fix them in one go. A missing or invalid member yields its
+/// fallback. Not thread safe; `value` and `faults` must outlive the reader.
 class object_reader {
 public:
     object_reader(const boost::json::value& value, std::string path,
@@ -47,7 +46,8 @@
 
     [[nodiscard]] bool has(std::string_view name) const;
 
-    /// A non-empty text; without a fallback the member is required.
+    /// Reads a non-empty string. Here and below, a member without a fallback
+    /// is required.
     [[nodiscard]] std::string text(std::string_view name,
                                    std::optional<std::string> fallback = {});
     [[nodiscard]] std::int64_t
@@ -60,22 +60,22 @@
                                   double high, std::optional<double> fallback);
     [[nodiscard]] bool boolean(std::string_view name,
                                std::optional<bool> fallback = {});
-    /// An index into `names`.
+    /// Reads a string that must be one of `names` and returns its index.
     [[nodiscard]] std::size_t choice(std::string_view name,
                                      std::span<const std::string_view> names,
                                      std::optional<std::size_t> fallback = {});
-    /// Calls `read` for the object under `name`, if there is one.
+    /// Calls `read` for the object in member `name` if the member exists.
     void object(std::string_view name, bool is_required,
                 const std::function<void(object_reader&)>& read);
-    /// Calls `read` for each object of the list under `name`.
+    /// Calls `read` for each object of the list in member `name`.
     void objects(std::string_view name, bool is_required,
                  const std::function<void(object_reader&)>& read);
     [[nodiscard]] std::vector<std::string> texts(std::string_view name);
 
-    /// Adds a fault about one member.
-    void complain(std::string_view name, std::string expected);
+    /// Adds a fault for one member.
+    void report_fault(std::string_view name, std::string expected);
 
-    /// Complains about members that nobody asked for. Call it last.
+    /// Reports members that were not read as unknown. Must be called last.
     void finish();
 
     [[nodiscard]] const std::string& path() const { return path_; }
--- a/core/outcome.hpp
+++ b/core/outcome.hpp
@@ -9,16 +9,16 @@
 
 namespace savorydock {
 
-/// Why something did not succeed: a numbered code and a readable detail.
+/// The reason for a failure: a numbered code and a human-readable detail.
 struct failure {
     result_code code = result_code::ok;
     std::string detail;
 };
 
-/// A value, or the last reason why there is none.
+/// A value, or the reason why there is none.
 ///
-/// Precondition of `*` and `->`: the outcome holds a value. Not thread safe;
-/// distinct objects may be used from distinct threads.
+/// Precondition of `*` and `->`: the outcome holds a value. Not thread safe,
+/// but different objects may be used in different threads.
 template <class T>
 class outcome {
 public:
@@ -36,7 +36,7 @@
     [[nodiscard]] T* operator->() { return &*value_; }
     [[nodiscard]] const T* operator->() const { return &*value_; }
 
-    /// The last reason; its code is `ok` if there is a value.
+    /// The reason for the failure; its code is `ok` if there is a value.
     [[nodiscard]] const failure& reason() const { return reason_; }
 
 private:
@@ -44,7 +44,7 @@
     failure reason_;
 };
 
-/// The outcome of an action that yields nothing but success.
+/// The value type for outcomes of actions that return nothing on success.
 struct done {};
 
 } // namespace savorydock
--- a/core/random_source.hpp
+++ b/core/random_source.hpp
@@ -5,17 +5,17 @@
 
 namespace savorydock {
 
-/// Where decision code takes random numbers from. Not thread safe: each
-/// thread owns one.
+/// The random number generator interface for decision code. Not thread safe:
+/// each thread needs its own.
 class random_source {
 public:
     virtual ~random_source() = default;
 
-    /// A number in [0, bound). Precondition: bound > 0.
+    /// Returns a number in [0, bound). Precondition: bound > 0.
     [[nodiscard]] virtual std::uint64_t below(std::uint64_t bound) = 0;
 };
 
-/// A random source with a fixed seed, for tests and for seeded processes.
+/// A random source with a given seed, for tests and reproducible processes.
 class seeded_random_source final : public random_source {
 public:
     explicit seeded_random_source(std::uint64_t seed)
--- a/core/reference_text.cpp
+++ b/core/reference_text.cpp
@@ -27,16 +27,18 @@
 std::string write_result_code_reference() {
     std::ostringstream out;
     out << "# Result codes\n\n"
-           "Written from the source by `misc/write_reference`; a test compares "
-           "them.\n"
-           "Every answer carries its code in the header `Savorydock-Result`; "
-           "answers\n"
-           "without a body of the upstream's own carry it as JSON too.\n\n"
-           "Class *not run*: no upstream can have begun the request; it may be "
-           "sent\n"
-           "again. Class *unknown*: it may have run; only idempotent work may "
-           "be sent\n"
-           "again. Class *failed*: it ran and there is no whole answer.\n\n"
+           "Generated from the source by `misc/write_reference`; a test checks "
+           "that this\n"
+           "page is up to date. Every answer has its code in the header "
+           "`Savorydock-Result`.\n"
+           "Answers whose body isn't from the upstream also have it in a JSON "
+           "body.\n\n"
+           "Class *not run*: no upstream can have started the request; it can "
+           "safely be\n"
+           "sent again. Class *unknown*: the request may have run; send it "
+           "again only if it\n"
+           "is idempotent. Class *failed*: the request ran, but there is no "
+           "complete answer.\n\n"
            "| code | name | class | HTTP | meaning |\n"
            "| --- | --- | --- | --- | --- |\n";
     for (const result_code_entry& entry : all_result_codes()) {
@@ -50,10 +52,12 @@
 std::string write_log_event_reference() {
     std::ostringstream out;
     out << "# Log events\n\n"
-           "Written from the source by `misc/write_reference`; a test compares "
-           "them.\n"
-           "A line reads `TIME LEVEL INSTANCE NUMBER name detail`, the detail "
-           "as\n`name=value` pairs.\n\n"
+           "Generated from the source by `misc/write_reference`; a test checks "
+           "that this\n"
+           "page is up to date. The format of a log line is\n"
+           "`TIME LEVEL INSTANCE NUMBER name detail`; the detail consists of "
+           "`name=value`\n"
+           "pairs.\n\n"
            "| number | name | level | meaning |\n"
            "| --- | --- | --- | --- |\n";
     for (const log_event_entry& entry : all_log_events()) {
--- a/core/result_code.hpp
+++ b/core/result_code.hpp
@@ -6,11 +6,11 @@
 
 namespace savorydock {
 
-/// Numbered outcome of a request, a sample or an operator's action.
+/// The numbered result of a request, a sample or an operator's action.
 ///
-/// The hundreds digit is the class, see `classify`. The numbers are part of
-/// the public interface: never renumber one. docs/RESULT_CODES.md has the
-/// table, which a test compares with `all_result_codes`.
+/// The hundreds digit gives the class, see `classify`. The numbers are part of
+/// the public interface, so never renumber a code. docs/RESULT_CODES.md lists
+/// all codes; a test compares it with `all_result_codes`.
 enum class result_code : std::uint16_t {
     ok = 0,
 
@@ -65,17 +65,17 @@
     store_history_gone = 416,
 };
 
-/// What a result code lets a caller conclude about its request.
+/// What a caller can conclude about its request from a result code.
 enum class result_class : std::uint8_t {
-    /// The whole answer was delivered.
+    /// The complete answer was delivered.
     complete,
-    /// No upstream can have begun the request.
+    /// No upstream can have started the request.
     not_run,
     /// An upstream may have run the request.
     unknown,
-    /// An upstream ran the request and it did not give a whole answer.
+    /// An upstream ran the request, but there is no complete answer.
     failed,
-    /// A control or operator action; no request is concerned.
+    /// The code is about a control or operator action, not a request.
     control,
 };
 
@@ -89,10 +89,10 @@
 /// Returns the class of a code. Thread safe.
 [[nodiscard]] result_class classify(result_code code);
 
-/// Returns the name of a code, "unlisted" if it has no row. Thread safe.
+/// Returns the name of a code, or "unlisted" if it has no row. Thread safe.
 [[nodiscard]] std::string_view name_of(result_code code);
 
-/// Returns the HTTP status that carries a code to a caller. Thread safe.
+/// Returns the HTTP status of answers with this code. Thread safe.
 [[nodiscard]] unsigned http_status_of(result_code code);
 
 /// Returns all rows in the order of their numbers. Thread safe.
--- a/core/secret.hpp
+++ b/core/secret.hpp
@@ -4,8 +4,8 @@
 
 namespace savorydock {
 
-/// Compares two secrets in a time that does not depend on where they differ.
-/// Thread safe.
+/// Compares two secrets of the same length in constant time, so that the time
+/// does not reveal where they differ. Thread safe.
 [[nodiscard]] bool is_same_secret(std::string_view left,
                                   std::string_view right);
 
--- a/core/service_document.cpp
+++ b/core/service_document.cpp
@@ -33,7 +33,7 @@
     const auto parsed = parse_endpoint(text);
     if (!parsed) {
         if (!text.empty()) {
-            reader.complain(name, parsed.reason().detail);
+            reader.report_fault(name, parsed.reason().detail);
         }
         return {};
     }
@@ -82,7 +82,7 @@
         .is_idempotent = reader.boolean("idempotent"),
     };
     if (!rule.path.empty() && rule.path.front() != '/') {
-        reader.complain("path", "a path that begins with /");
+        reader.report_fault("path", "a path that begins with /");
     }
     return rule;
 }
@@ -103,7 +103,7 @@
         .capacity_floor = reader.fraction("capacity_floor", 0, 1, 0.5),
     };
     if (rule.rollback_from != 0 && rule.rollback_from <= rule.version) {
-        reader.complain("rollback_from", "a version above `version`");
+        reader.report_fault("rollback_from", "a version above `version`");
     }
     return rule;
 }
@@ -122,8 +122,8 @@
     std::set<std::string> seen;
     for (const Rule& rule : rules) {
         if (!seen.insert(key(rule)).second) {
-            root.complain(member,
-                          "distinct values, not " + key(rule) + " twice");
+            root.report_fault(member,
+                              "distinct values, not " + key(rule) + " twice");
         }
     }
 }
@@ -142,19 +142,20 @@
         document.calls, [](const auto& r) { return r.path; }, "calls", root);
     for (const caller_rule& caller : document.callers) {
         if (document.find_class(caller.class_of_service) == nullptr) {
-            root.complain("callers", "a declared class for " +
-                                         caller.name.text() + ", not " +
-                                         caller.class_of_service.text());
+            root.report_fault("callers", "a declared class for " +
+                                             caller.name.text() + ", not " +
+                                             caller.class_of_service.text());
         }
     }
     if (document.kind == service_kind::model && !document.calls.empty()) {
-        root.complain("calls", "nothing; a model has no plain calls");
+        root.report_fault("calls",
+                          "no entries; a model service has no plain calls");
     }
     std::set<std::string> keys;
     for (const caller_rule& caller : document.callers) {
         if (!keys.insert(caller.key).second) {
-            root.complain("callers",
-                          "a key of its own for " + caller.name.text());
+            root.report_fault("callers",
+                              "a unique key for " + caller.name.text());
         }
     }
 }
--- a/core/service_document.hpp
+++ b/core/service_document.hpp
@@ -14,9 +14,9 @@
 namespace savorydock {
 
 enum class service_kind : std::uint8_t {
-    /// Plain HTTP calls are passed through.
+    /// Plain HTTP calls that are passed through.
     plain,
-    /// A model engine with streams, versions and steps.
+    /// Model engines, with streams, weight versions and training steps.
     model,
 };
 
@@ -26,14 +26,14 @@
     least_in_flight,
 };
 
-/// Whether a zone may send work to the upstreams of another zone.
+/// Whether a zone may send work to upstreams in other zones.
 enum class cross_zone_use : std::uint8_t { never, overflow };
 
-/// A class of callers. Lower `priority` goes first.
+/// A class of callers. Classes with a lower `priority` value go first.
 struct class_rule {
     class_name name;
     std::int32_t priority = 0;
-    /// Interactive classes are never delayed by batch work.
+    /// Batch work never delays interactive classes.
     bool is_interactive = false;
     std::chrono::milliseconds deadline{0};
     std::uint32_t queue_length = 0;
@@ -41,12 +41,12 @@
 
 struct caller_rule {
     caller_id name;
-    /// The secret that the caller presents.
+    /// The secret that authenticates the caller.
     std::string key;
     class_name class_of_service;
-    /// Share among callers of one class.
+    /// The caller's relative share within its class.
     std::uint32_t weight = 1;
-    /// Limit over all instances together; 0 means none.
+    /// The limit over all instances together; 0 means no limit.
     std::uint32_t requests_per_second = 0;
 };
 
@@ -54,13 +54,13 @@
     upstream_id name;
     availability_zone zone;
     endpoint address;
-    /// Requests that it takes at once.
+    /// The maximum number of concurrent requests.
     std::uint32_t slots = 1;
-    /// Whether it refuses orders that carry an old fencing number.
+    /// Whether the upstream refuses orders with an outdated fencing number.
     bool checks_fencing = false;
 };
 
-/// How one call of a plain service may be treated.
+/// Properties of one call of a plain service.
 struct call_rule {
     std::string path;
     bool is_idempotent = false;
@@ -68,31 +68,32 @@
 
 /// Rules for a model's weights and samples.
 struct weights_rule {
-    /// The version that upstreams should run; 0 leaves them alone.
+    /// The version that upstreams should run; 0 means no swaps are ordered.
     weight_version version = 0;
-    /// Upstreams at up to this version may be ordered back to `version`; 0
-    /// never orders any back.
+    /// Upstreams above `version`, up to this version, may be ordered back to
+    /// `version`; 0 disables rollbacks.
     weight_version rollback_from = 0;
-    /// Fetches that the store takes at once, all upstreams together; 0 means
-    /// it is not known.
+    /// How many concurrent fetches the weight store supports, over all
+    /// upstreams; 0 means unknown.
     std::uint32_t fetches_at_once = 0;
     endpoint store;
-    /// Versions that a sample may lag behind the newest at hand-over.
+    /// How many versions a sample may be behind the newest at hand-over.
     std::uint32_t staleness_bound = 1;
-    /// 0 weighs staleness only, 1 weighs trainer idle time only.
+    /// How the schedule weighs trainer idle time against staleness: 0 considers
+    /// staleness only, 1 idle time only.
     double idle_weight = 0.5;
-    /// The fraction of upstreams that must stay in service in a roll-out.
+    /// The fraction of upstreams that must stay in service during a roll-out.
     double capacity_floor = 0.5;
 };
 
 struct retry_rule {
-    /// Retries as a fraction of live traffic.
+    /// The maximum number of retries, as a fraction of live traffic.
     double budget = 0.1;
     std::uint32_t max_attempts = 3;
 };
 
-/// One service as its operators declare it. A value; never changed once in
-/// force.
+/// The configuration of one service as its operators declare it. A value type;
+/// a document in force never changes.
 struct service_document {
     service_name service;
     service_kind kind = service_kind::plain;
@@ -105,16 +106,16 @@
     weights_rule weights;
     retry_rule retries;
 
-    /// The rule of a caller's key, or null. Compares in constant time.
+    /// Returns the caller with this key, or null. Compares in constant time.
     [[nodiscard]] const caller_rule* caller_of_key(std::string_view key) const;
     [[nodiscard]] const class_rule* find_class(const class_name& name) const;
     [[nodiscard]] const upstream_rule*
     find_upstream(const upstream_id& name) const;
-    /// Calls that no rule names are taken to be non-idempotent.
+    /// Calls without a rule are treated as non-idempotent.
     [[nodiscard]] bool is_idempotent(std::string_view path) const;
 };
 
-/// Reads and checks one service document (JSON with comments).
+/// Parses and validates a service document (JSON with comments).
 /// Errors: `invalid_json`, or `invalid_document` with all faults.
 [[nodiscard]] outcome<service_document>
 parse_service_document(std::string_view text);
--- a/core/state_chart.cpp
+++ b/core/state_chart.cpp
@@ -24,7 +24,7 @@
                         std::string_view kind, std::string& report) {
     for (const std::string& name : wanted) {
         if (!index_of(present, name)) {
-            report += " lacks " + std::string(kind) + " " + name + ";";
+            report += " is missing " + std::string(kind) + " " + name + ";";
         }
     }
     for (const std::string& name : present) {
@@ -53,7 +53,7 @@
                               const std::string& name) -> state_index {
         const auto found = index_of(chart.states_, name);
         if (!found) {
-            where.complain(member, "a declared state, not " + name);
+            where.report_fault(member, "a declared state, not " + name);
         }
         return found.value_or(0);
     };
@@ -71,20 +71,22 @@
         const std::string event_name = row.text("event");
         const auto event = index_of(chart.events_, event_name);
         if (!event) {
-            row.complain("event", "a declared event, not " + event_name);
+            row.report_fault("event", "a declared event, not " + event_name);
             return;
         }
         if (from < chart.is_final_.size() && chart.is_final_[from]) {
-            row.complain("from", "a state that is not final");
+            row.report_fault("from", "a state that is not final");
         }
         if (!chart.transitions_.emplace(std::pair(from, *event), to).second) {
-            row.complain("event", "one transition a state and event");
+            row.report_fault("event",
+                             "only one transition per state and event");
         }
         targets.insert(to);
     });
     for (std::size_t state = 0; state < chart.states_.size(); ++state) {
         if (!targets.contains(static_cast<state_index>(state))) {
-            reader.complain("states", "a way to reach " + chart.states_[state]);
+            reader.report_fault("states",
+                                "a transition to " + chart.states_[state]);
         }
     }
     reader.finish();
--- a/core/state_chart.hpp
+++ b/core/state_chart.hpp
@@ -13,15 +13,16 @@
 /// A state chart read from a JSON file: named states, one initial state,
 /// final states, and transitions (from, event, to).
 ///
-/// The chart is checked whole when it is read: every name is declared, every
-/// state can be reached, a final state has no way out, and no state has two
-/// transitions on one event. Immutable after that, hence thread safe.
+/// Parsing validates the chart: transitions use only declared names, every
+/// state except the initial one is the target of a transition, final states
+/// have no outgoing transitions, and no state has two transitions for the same
+/// event. A chart is immutable and therefore thread safe.
 class state_chart {
 public:
     using state_index = std::uint16_t;
     using event_index = std::uint16_t;
 
-    /// Reads a chart. Errors: `invalid_chart` with all faults.
+    /// Parses a chart. Errors: `invalid_chart`, with all faults.
     [[nodiscard]] static outcome<state_chart> parse(std::string_view text);
 
     /// Reads a chart file. Errors: `not_found`, `invalid_chart`.
@@ -31,18 +32,18 @@
     [[nodiscard]] state_index initial() const { return initial_; }
     [[nodiscard]] bool is_final(state_index state) const;
 
-    /// Precondition: the name is declared; `require` checks that at start.
+    /// Precondition: the name is declared; `require` checks this at startup.
     [[nodiscard]] state_index state(std::string_view name) const;
     [[nodiscard]] event_index event(std::string_view name) const;
     [[nodiscard]] const std::string& state_name(state_index state) const;
     [[nodiscard]] const std::string& event_name(event_index event) const;
 
-    /// The state after `event`, or nothing if the chart does not allow it.
+    /// Returns the state after `event`, or nothing if it is not allowed.
     [[nodiscard]] std::optional<state_index> next(state_index state,
                                                   event_index event) const;
 
-    /// Checks that the chart declares exactly what the code relies on.
-    /// Errors: `invalid_chart` naming what lacks or is too much.
+    /// Checks that the chart declares exactly the states and events that the
+    /// code uses. Errors: `invalid_chart`, naming missing and unknown ones.
     [[nodiscard]] outcome<done>
     require(const std::vector<std::string>& states,
             const std::vector<std::string>& events) const;
@@ -63,16 +64,16 @@
     std::map<std::pair<state_index, event_index>, state_index> transitions_;
 };
 
-/// Where one object stands in a chart. Not thread safe. The chart must
-/// outlive it.
+/// The current state of one object that follows a chart. Not thread safe. The
+/// chart must outlive it.
 class chart_position {
 public:
     explicit chart_position(const state_chart& chart)
         : chart_(&chart)
         , state_(chart.initial()) {}
 
-    /// Takes the transition on an event; returns false, and stays, if the
-    /// chart does not allow it.
+    /// Takes the transition for an event. If the chart does not allow it,
+    /// returns false and keeps the state.
     bool fire(std::string_view event);
 
     [[nodiscard]] const std::string& state() const {
--- a/core/text_file.cpp
+++ b/core/text_file.cpp
@@ -8,7 +8,7 @@
 outcome<std::string> read_text_file(const std::string& file) {
     std::ifstream stream(file, std::ios::binary);
     if (!stream) {
-        return failure{result_code::not_found, "can't read " + file};
+        return failure{result_code::not_found, "cannot read " + file};
     }
     std::ostringstream text;
     text << stream.rdbuf();
--- a/core/wire_codec.hpp
+++ b/core/wire_codec.hpp
@@ -15,15 +15,15 @@
 #include <type_traits>
 #include <vector>
 
-/// Encodes described structs (BOOST_DESCRIBE_STRUCT) as CBOR arrays, one
-/// element a member in the order of description. Members are added at the
-/// end only: a decoder leaves members that an older peer lacks at their
-/// defaults and passes over those that a newer peer has added.
+/// Encodes described structs (BOOST_DESCRIBE_STRUCT) as CBOR arrays, with one
+/// element per member in the order of the description. Only add members at the
+/// end: the decoder keeps the defaults of members that an older peer does not
+/// send, and ignores members that a newer peer has added.
 namespace savorydock::wire {
 
 using node = nlohmann::json;
 
-/// The deepest a peer's value may be nested, so that no frame can exhaust
+/// The maximum nesting depth of a peer's value, so that no frame can overflow
 /// the stack.
 inline constexpr int max_depth = 16;
 
@@ -88,7 +88,8 @@
     }
 }
 
-/// Throws nlohmann::json::exception or std::out_of_range on a misfit.
+/// Throws nlohmann::json::exception or std::out_of_range if the node does not
+/// match the type.
 template <class T>
 void from_node(const node& source, T& value, int depth = 0) {
     if (depth > max_depth) {
@@ -119,7 +120,7 @@
         }
     } else if constexpr (boost::describe::has_describe_members<T>::value) {
         if (!source.is_array()) {
-            throw std::out_of_range("not an array");
+            throw std::out_of_range("expected an array");
         }
         std::size_t position = 0;
         boost::mp11::mp_for_each<
@@ -136,7 +137,7 @@
     }
 }
 
-/// Returns the CBOR form of a described struct. Thread safe.
+/// Encodes a described struct as CBOR. Thread safe.
 template <class T>
 std::string encode(const T& value) {
     std::string bytes;
@@ -144,7 +145,8 @@
     return bytes;
 }
 
-/// Returns the value, or `bad_frame`. Never throws on bad input. Thread safe.
+/// Decodes a described struct. Never throws on bad input. Errors: `bad_frame`.
+/// Thread safe.
 template <class T>
 outcome<T> decode(const std::string& bytes) {
     try {
--- a/drivers/caller_http/step_body.cpp
+++ b/drivers/caller_http/step_body.cpp
@@ -23,7 +23,7 @@
     }
     const std::string text = reader.text("held");
     if (text.find_first_not_of("01") != std::string::npos) {
-        reader.complain("held", "a text of 0 and 1, one a slot");
+        reader.report_fault("held", "a text of 0 and 1, one a slot");
         return bits;
     }
     for (const char bit : text) {
@@ -63,13 +63,14 @@
     });
     const std::size_t slots = body.groups.size() * body.group_size;
     if (slots == 0 || slots > max_slots) {
-        reader.complain("groups",
-                        "1 to " + std::to_string(max_slots) + " slots in all");
+        reader.report_fault("groups", "1 to " + std::to_string(max_slots) +
+                                          " slots in all");
     }
     if (body.held.empty()) {
         body.held.resize(slots);
     } else if (body.held.size() != slots) {
-        reader.complain("held", std::to_string(slots) + " digits, one a slot");
+        reader.report_fault("held",
+                            std::to_string(slots) + " digits, one a slot");
     }
     reader.finish();
     if (!faults.empty()) {
--- a/tests/core/metrics_registry_test.cpp
+++ b/tests/core/metrics_registry_test.cpp
@@ -39,7 +39,7 @@
     EXPECT_TRUE(has_line("savorydock_request_seconds_count" + labels + "} 4"));
 }
 
-TEST_F(metrics_registry_test, series_beyond_the_bound_are_put_together) {
+TEST_F(metrics_registry_test, series_beyond_the_limit_are_merged) {
     observe("a", 1);
     observe("b\"\n", 1);
     observe("c", 1);
@@ -51,12 +51,13 @@
     EXPECT_TRUE(has_line(name + R"({service="other",class="other"} 2)"));
 }
 
-TEST_F(metrics_registry_test, quantiles_of_an_even_spread_are_close) {
+TEST_F(metrics_registry_test, quantiles_of_uniform_values_are_close) {
     latency_histogram histogram;
     EXPECT_EQ(histogram.quantile_values()[0].count(), 0);
     constexpr int values = 10'000;
     for (int step = 0; step < values; ++step) {
-        // 7919 is prime to 10,000: each value comes once, in no order.
+        // 7919 and 10,000 are coprime, so each value occurs once, in a
+        // scattered order.
         histogram.add(
             std::chrono::duration<double>(step * 7'919 % values / 1'000.0));
     }
--- a/tests/core/service_document_test.cpp
+++ b/tests/core/service_document_test.cpp
@@ -48,7 +48,7 @@
     EXPECT_NE(document.reason().detail.find("line 2"), std::string::npos);
 }
 
-TEST_F(service_document_test, text_cut_short_is_refused) {
+TEST_F(service_document_test, truncated_text_is_refused) {
     for (std::size_t length = 0; length < valid_.size(); ++length) {
         if (valid_.substr(length).find('}') == std::string::npos) {
             break;
