--- a/drivers/batch/item_runner.cpp
+++ b/drivers/batch/item_runner.cpp
@@ -118,7 +118,7 @@
 
 asio::awaitable<run_end> item_runner::run(std::shared_ptr<const run_task> task,
                                           std::shared_ptr<run_record> record) {
-    platform::forwarded_marks marks{.upstream = task->upstream};
+    platform::forwarding_metadata marks{.upstream = task->upstream};
     if (record->whole.events > 0) {
         marks.last_event = record->whole.events;
     }
@@ -139,7 +139,7 @@
         co_return run_end::interrupted;
     }
     http_stream& stream = **opened;
-    const auto answer = platform::decode_answer_marks(stream.headers());
+    const auto answer = platform::decode_answer_metadata(stream.headers());
     if (stream.status() != status_ok) {
         co_return judge_status(stream.status(), answer.is_not_run);
     }
@@ -218,7 +218,8 @@
                 .is_urgent = true};
             auto result = co_await scorers_.call(std::move(call));
             if (result.answer && result.answer->status / 100 == 2) {
-                co_return platform::decode_answer_marks(result.answer->headers)
+                co_return platform::decode_answer_metadata(
+                    result.answer->headers)
                     .stamp;
             }
             failures += result.failures;
--- a/drivers/front/front_service.cpp
+++ b/drivers/front/front_service.cpp
@@ -77,10 +77,10 @@
 
 http_response answer_failure(const failure& reason) {
     if (reason.code == result_code::not_found) {
-        return platform::make_own_answer(status_not_found, "not found");
+        return platform::make_local_response(status_not_found, "not found");
     }
-    return platform::make_own_answer(status_unavailable, "state unknown",
-                                     retry_after);
+    return platform::make_local_response(status_unavailable, "state unknown",
+                                         retry_after);
 }
 
 } // namespace
@@ -109,7 +109,7 @@
                         ? std::to_string(fleet_.routes->configuration().version)
                         : "none") +
                    " reason=\"" + reason + '"');
-    http_response response = platform::make_own_answer(
+    http_response response = platform::make_local_response(
         status, reason,
         status == status_unavailable ? std::optional(retry_after)
                                      : std::nullopt);
@@ -155,7 +155,7 @@
                        const platform::caller_call& call) {
     const steady_time begin = now();
     const auto patience =
-        std::min(call.patience.value_or(default_patience), route.timeout);
+        std::min(call.max_wait.value_or(default_patience), route.timeout);
     // The caller is watched beside the work: once it has gone, the upstream's
     // connection closes and the upstream drops the request.
     plain_call_request plain{.route = route,
@@ -206,7 +206,7 @@
                "request=" + call.id.text() + " route=" + route.name +
                    " attempts=" + std::to_string(result.attempts) +
                    " reason=\"" + result.reason.detail + '"');
-    http_response response = platform::make_own_answer(
+    http_response response = platform::make_local_response(
         is_late ? status_gateway_timeout : status_bad_gateway,
         "the upstream may have run the request");
     co_await exchange.respond(std::move(response));
@@ -217,7 +217,7 @@
                               const platform::caller_call& call) {
     const steady_time deadline =
         now() +
-        std::min(call.patience.value_or(default_patience), route.timeout);
+        std::min(call.max_wait.value_or(default_patience), route.timeout);
     const service_name service = route.services.empty()
                                      ? service_name()
                                      : route.services.front().service;
@@ -235,9 +235,9 @@
         tried.insert(upstream->id);
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
             deadline - now());
-        const platform::forwarded_marks marks{.upstream = upstream->id,
-                                              .time_left = left,
-                                              .last_event = last_event};
+        const platform::forwarding_metadata marks{.upstream = upstream->id,
+                                                  .time_left = left,
+                                                  .last_event = last_event};
         http_request request =
             platform::forward_request(exchange.request(), marks);
         auto opened =
@@ -251,7 +251,7 @@
             continue;
         }
         http_stream& stream = **opened;
-        if (platform::decode_answer_marks(stream.headers()).is_not_run) {
+        if (platform::decode_answer_metadata(stream.headers()).is_not_run) {
             continue;
         }
         may_have_run = true;
@@ -318,7 +318,7 @@
         co_return;
     }
     ++counters_.unknown;
-    http_response response = platform::make_own_answer(
+    http_response response = platform::make_local_response(
         status_bad_gateway, "the upstream may have run the request");
     co_await exchange.respond(std::move(response));
 }
@@ -348,7 +348,7 @@
                       .total = static_cast<std::uint32_t>(job->items.size()),
                       .accepted_at = wall_milliseconds()};
     const auto patience =
-        std::min(call.patience.value_or(accept_time), accept_time);
+        std::min(call.max_wait.value_or(accept_time), accept_time);
     const accept_end end = co_await jobs_.accept(
         record, exchange.request().body, begin + patience - answer_margin);
     const std::string detail =
@@ -370,11 +370,11 @@
     log_.write(log_event::job_refused,
                detail + " outcome=" + (is_refused ? "refused" : "unknown"));
     http_response response =
-        is_refused ? platform::make_own_answer(status_unavailable,
-                                               "the store is not available",
-                                               retry_after)
-                   : platform::make_own_answer(status_gateway_timeout,
-                                               "the job may have been kept");
+        is_refused
+            ? platform::make_local_response(
+                  status_unavailable, "the store is not available", retry_after)
+            : platform::make_local_response(status_gateway_timeout,
+                                            "the job may have been kept");
     co_await exchange.respond(std::move(response));
 }
 
@@ -424,8 +424,8 @@
     if (!ended) {
         // An end that the store did not answer may take effect: no promise.
         co_return ended.reason().code == result_code::store_unanswered
-            ? platform::make_own_answer(status_gateway_timeout,
-                                        "the end may take effect")
+            ? platform::make_local_response(status_gateway_timeout,
+                                            "the end may take effect")
             : answer_failure(ended.reason());
     }
     log_.write(log_event::job_ended, "job=" + job.text());
--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -125,7 +125,7 @@
 plain_caller::try_upstream(const plain_call_request& call,
                            const upstream_entry& upstream,
                            steady_time deadline) {
-    platform::forwarded_marks marks{.upstream = upstream.id};
+    platform::forwarding_metadata marks{.upstream = upstream.id};
     if (call.must_pass_deadline) {
         marks.time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
             call.deadline - std::chrono::steady_clock::now());
@@ -143,7 +143,7 @@
             classify(answer.reason().code) != result_class::not_run;
         co_return make_failed(is_open, answer.reason());
     }
-    const auto marks_back = platform::decode_answer_marks(answer->headers);
+    const auto marks_back = platform::decode_answer_metadata(answer->headers);
     if (marks_back.is_not_run || answer->status == status_misdirected) {
         record.end(answer->status == status_misdirected ? call_end::failed
                                                         : call_end::full);
--- a/drivers/node/node_instance.cpp
+++ b/drivers/node/node_instance.cpp
@@ -701,7 +701,7 @@
     const bool is_ready = fleet_.routes && !is_draining_;
     http_response response =
         is_ready ? http_response{.status = 200}
-                 : platform::make_own_answer(
+                 : platform::make_local_response(
                        503, is_draining_ ? "draining" : "no configuration");
     co_await exchange.respond(std::move(response));
 }
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -19,7 +19,7 @@
 ip = "10.0.0.1"
 internal_ports = [7000, 7015]
 heartbeat_ms = 1200
-a_field_of_tomorrow = [1, 2]
+future_field = [1, 2]
 [listen]
 front = "10.0.0.1:8000"
 ready = "10.0.0.1:8001"
@@ -83,7 +83,7 @@
              "engine":{"slots":8,"kv_token_cap":72728,"stride":51,
                        "models":[{"name":"m"}]}}],
           "limits":{"max_body_bytes":99,"idle_timeout_ms":15000},
-          "a_field_of_tomorrow":{}})",
+          "future_field":{}})",
         42);
     ASSERT_TRUE(configuration) << configuration.reason().detail;
     EXPECT_EQ(configuration->version, 7U);
@@ -109,7 +109,7 @@
     }
 }
 
-TEST_F(codec_test, upstream_entries_of_other_writers_name_no_upstream) {
+TEST_F(codec_test, invalid_upstream_entries_are_refused) {
     const std::string good =
         R"({"service":"s","address":"10.0.0.9:80","zone":"a","slots":8,)"
         R"("state":"ready","sequence":4,"born":1700000000000,)"
@@ -239,7 +239,7 @@
     EXPECT_FALSE(decode_item_event(": comment").number);
 }
 
-TEST_F(codec_test, store_statuses_keep_not_done_and_unknown_apart) {
+TEST_F(codec_test, store_statuses_distinguish_refused_from_unanswered) {
     struct row {
         unsigned status;
         result_code code;
@@ -262,7 +262,7 @@
     EXPECT_FALSE(decode_range({.status = 200, .body = "no json"}));
 }
 
-TEST_F(codec_test, failed_condition_brings_the_current_items) {
+TEST_F(codec_test, failed_condition_returns_the_current_items) {
     const auto result = decode_transaction(
         {.status = 412,
          .body = R"({"items":[{"key":"k","value":"bm9kZS0x","revision":9}]})"});
