--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -128,7 +128,7 @@
 plain_caller::try_upstream(const plain_call_request& call,
                            const upstream_entry& upstream,
                            steady_time deadline) {
-    platform::forwarded_marks marks{.upstream = upstream.id};
+    platform::forwarding_metadata marks{.upstream = upstream.id};
     if (call.must_forward_deadline) {
         marks.time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
             call.deadline - std::chrono::steady_clock::now());
@@ -146,7 +146,7 @@
             classify(answer.reason().code) != result_class::not_run;
         co_return make_failed(may_have_begun, answer.reason());
     }
-    const auto answer_marks = platform::decode_answer_marks(answer->headers);
+    const auto answer_marks = platform::decode_answer_metadata(answer->headers);
     if (answer_marks.is_not_run || answer->status == status_misdirected) {
         guard.end(answer->status == status_misdirected ? call_outcome::failed
                                                        : call_outcome::full);
