--- a/drivers/caller_http/model_call.cpp
+++ b/drivers/caller_http/model_call.cpp
@@ -141,7 +141,7 @@
         if (is_stream) {
             co_return co_await writer.write(event);
         }
-        co_return !exchange.is_caller_gone();
+        co_return !exchange.is_caller_disconnected();
     };
     request_life life(services.request_chart, services.chart_violations);
     life.fire("enqueue");
--- a/drivers/caller_http/step_runner.cpp
+++ b/drivers/caller_http/step_runner.cpp
@@ -310,7 +310,7 @@
 }
 
 void step_runner::check_end(http_exchange& exchange) {
-    if (exchange.is_caller_gone()) {
+    if (exchange.is_caller_disconnected()) {
         session_.lose_trainer();
     }
     const steady_time now = std::chrono::steady_clock::now();
--- a/drivers/front/front_service.cpp
+++ b/drivers/front/front_service.cpp
@@ -165,7 +165,7 @@
                              .id = call.id.text(),
                              .deadline = begin + time_limit};
     auto outcome = co_await (plain_caller_.call(std::move(plain)) ||
-                             exchange.wait_caller_gone());
+                             exchange.wait_for_disconnect());
     if (outcome.index() == 1) {
         ++counters_.callers_gone;
         log_.write(log_event::request_finished, "request=" + call.id.text() +
@@ -267,7 +267,7 @@
         std::string buffer;
         while (true) {
             auto part = co_await (stream.read_some(deadline) ||
-                                  exchange.wait_caller_gone());
+                                  exchange.wait_for_disconnect());
             if (part.index() == 1) {
                 ++counters_.callers_gone;
                 co_return;
--- a/drivers/http/event_stream_reader.cpp
+++ b/drivers/http/event_stream_reader.cpp
@@ -7,7 +7,7 @@
 constexpr std::string_view event_end = "\n\n";
 constexpr std::string_view data_field = "data:";
 
-/// Joins the data lines of one event; other fields and comments are skipped.
+/// Joins the `data` lines of one event; skips other fields and comments.
 std::string data_of(std::string_view event) {
     std::string data;
     while (!event.empty()) {
--- a/drivers/http/event_stream_reader.hpp
+++ b/drivers/http/event_stream_reader.hpp
@@ -6,16 +6,16 @@
 
 namespace savorydock {
 
-/// Splits a text/event-stream into events. Not thread safe.
+/// Parses a text/event-stream into events. Not thread safe.
 class event_stream_reader {
 public:
-    /// Longer events are not taken.
+    /// Longer events are rejected.
     static constexpr std::size_t max_event_bytes = 4'194'304;
 
-    /// Takes bytes; returns false if an event grows over the limit.
+    /// Appends received bytes; returns false if an event exceeds the limit.
     [[nodiscard]] bool feed(std::string_view bytes);
 
-    /// The data of the next whole event, or nothing yet.
+    /// Returns the data of the next complete event, if there is one.
     [[nodiscard]] std::optional<std::string> next();
 
 private:
--- a/drivers/http/http_client.cpp
+++ b/drivers/http/http_client.cpp
@@ -31,35 +31,35 @@
 constexpr std::size_t max_idle_connections = 64;
 constexpr std::uint64_t max_answer_bytes = 256ULL * 1024 * 1024;
 
-/// Silent connections show by the kernel's probes: the first after the idle
-/// time, then one each interval.
+/// TCP keepalive detects connections whose peer no longer responds: the first
+/// probe is sent after the idle time, then one per interval.
 constexpr int probe_idle_seconds = 1;
 constexpr int probe_interval_seconds = 1;
 constexpr int probe_count = 2;
-/// Unacknowledged bytes end a connection after that time.
+/// A connection is closed if sent bytes stay unacknowledged for this long.
 constexpr int unacknowledged_milliseconds = 3'000;
-/// Idle connections are given up that long before their peer would close
-/// them, so that no request meets the close.
-constexpr std::chrono::milliseconds idle_margin{500};
+/// Idle connections are discarded this long before their peer would close
+/// them, so that no request is sent on a connection that is being closed.
+constexpr std::chrono::milliseconds idle_close_margin{500};
 
-/// One connection to an address and what was read ahead on it.
+/// One connection to an address, with the bytes read ahead from it.
 struct connection {
     explicit connection(asio::io_context& context)
         : stream(context) {}
 
     beast::tcp_stream stream;
     beast::flat_buffer buffer;
-    /// When the peer may close it while it is idle.
+    /// When the peer may close the connection if it stays idle.
     steady_time idle_until = steady_time::max();
 };
 
-/// A connection that is given up is reset: bytes that a partition holds up
-/// must not reach their receiver once the call has failed.
+/// Makes closing the connection send a reset: bytes that a network partition
+/// delays must not reach their receiver once the call has failed.
 void prepare_socket(tcp::socket& socket) {
     boost::system::error_code ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     const auto set = [&](int level, int option, int value) {
-        // A platform without the option only notices silence later.
+        // Without the option a lost peer is only detected later.
         ::setsockopt(socket.native_handle(), level, option, &value,
                      sizeof value);
     };
@@ -70,7 +70,7 @@
     set(IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_milliseconds);
 }
 
-/// The idle time that an answer's "Keep-Alive: timeout=N" grants.
+/// The idle time granted by the response header "Keep-Alive: timeout=N".
 std::optional<std::chrono::seconds> idle_time_of(std::string_view keep_alive) {
     constexpr std::string_view name = "timeout=";
     const std::size_t at = keep_alive.find(name);
@@ -87,7 +87,7 @@
 
 using connection_pointer = std::unique_ptr<connection>;
 
-/// An idle connection with something to read was closed by its other end.
+/// An idle connection that is readable was closed by its peer.
 bool is_still_idle(connection& idle) {
     char byte = 0;
     const auto received = ::recv(idle.stream.socket().native_handle(), &byte, 1,
@@ -95,14 +95,14 @@
     return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// The code of a call that its own side gave up.
-failure given_up(const beast::error_code& error) {
+/// The failure of a call that was cancelled on this side.
+failure cancelled(const beast::error_code& error) {
     return {result_code::cancelled_by_caller, error.message()};
 }
 
 failure failed_before_write(const beast::error_code& error) {
     if (error == asio::error::operation_aborted) {
-        return given_up(error);
+        return cancelled(error);
     }
     const bool is_timeout = error == beast::error::timeout;
     return {is_timeout ? result_code::not_run_deadline
@@ -112,7 +112,7 @@
 
 failure failed_after_write(const beast::error_code& error) {
     if (error == asio::error::operation_aborted) {
-        return given_up(error);
+        return cancelled(error);
     }
     const bool is_timeout = error == beast::error::timeout;
     return {is_timeout ? result_code::unknown_deadline
@@ -157,7 +157,7 @@
         return nullptr;
     }
 
-    void keep(const std::string& key, connection_pointer used) {
+    void return_idle(const std::string& key, connection_pointer used) {
         auto& list = idle[key];
         if (list.size() < max_idle_connections) {
             used->stream.expires_never();
@@ -238,8 +238,9 @@
             }
         }
         if (parser_.need_eof() && pool_->unframed == unframed_answer::refuse) {
-            co_return failure{result_code::failed_truncated,
-                              "the answer has no length or end mark"};
+            co_return failure{
+                result_code::failed_truncated,
+                "the response has neither a length nor an end marker"};
         }
         release();
         co_return std::string();
@@ -248,7 +249,7 @@
 private:
     static failure failed_while_reading(const beast::error_code& error) {
         if (error == asio::error::operation_aborted) {
-            return given_up(error);
+            return cancelled(error);
         }
         if (error == beast::error::timeout) {
             return {result_code::unknown_deadline, error.message()};
@@ -257,7 +258,7 @@
     }
 
     void release() {
-        // Bytes behind a whole answer belong to no request.
+        // Bytes after a complete response belong to no request.
         if (!connection_ || !parser_.get().keep_alive() || parser_.need_eof() ||
             connection_->buffer.size() > 0) {
             connection_.reset();
@@ -265,9 +266,9 @@
         }
         const auto idle_time = idle_time_of(parser_.get()["Keep-Alive"]);
         connection_->idle_until = idle_time ? std::chrono::steady_clock::now() +
-                                                  *idle_time - idle_margin
+                                                  *idle_time - idle_close_margin
                                             : steady_time::max();
-        pool_->keep(key_, std::move(connection_));
+        pool_->return_idle(key_, std::move(connection_));
     }
 
     std::shared_ptr<pool> pool_;
@@ -306,7 +307,8 @@
     const auto message = convert(address, std::move(request));
     used->stream.expires_at(deadline);
     if (std::chrono::steady_clock::now() >= last_write) {
-        co_return failure{result_code::not_run_deadline, "no time is left"};
+        co_return failure{result_code::not_run_deadline,
+                          "the deadline has passed"};
     }
     const auto [error, size] =
         co_await http::async_write(used->stream, message, await);
@@ -346,9 +348,10 @@
 
 namespace {
 
-asio::awaitable<void> call_into(http_client& client, endpoint address,
-                                http_request request, steady_time deadline,
-                                std::optional<outcome<http_response>>& result) {
+asio::awaitable<void>
+store_call_result(http_client& client, endpoint address, http_request request,
+                  steady_time deadline,
+                  std::optional<outcome<http_response>>& result) {
     result =
         co_await client.call(std::move(address), std::move(request), deadline);
 }
@@ -362,13 +365,13 @@
     http_client client(context);
     std::optional<outcome<http_response>> result;
     asio::co_spawn(context,
-                   call_into(client, address, std::move(request),
-                             std::chrono::steady_clock::now() + timeout,
-                             result),
+                   store_call_result(client, address, std::move(request),
+                                     std::chrono::steady_clock::now() + timeout,
+                                     result),
                    asio::detached);
     context.run();
-    return result.value_or(
-        failure{result_code::unknown_upstream_lost, "the call was dropped"});
+    return result.value_or(failure{result_code::unknown_upstream_lost,
+                                   "the call ended without a result"});
 }
 
 } // namespace savorydock
--- a/drivers/http/http_client.hpp
+++ b/drivers/http/http_client.hpp
@@ -14,8 +14,8 @@
 
 namespace savorydock {
 
-/// An answer that arrives in parts. Lives on its client's thread; dropping it
-/// before its end closes the connection.
+/// A response that is read in parts. Used on its client's thread only.
+/// Destroying it before the end of the response closes the connection.
 class http_stream {
 public:
     virtual ~http_stream() = default;
@@ -23,34 +23,37 @@
     [[nodiscard]] virtual unsigned status() const = 0;
     [[nodiscard]] virtual const http_headers& headers() const = 0;
 
-    /// The next bytes, or an empty text once the whole answer has arrived.
-    /// Errors: `failed_truncated` if it ended too soon, `unknown_deadline`.
+    /// Returns the next bytes, or an empty string at the end of the response.
+    /// Errors: `failed_truncated` if the response ended too soon,
+    /// `unknown_deadline`.
     virtual boost::asio::awaitable<outcome<std::string>>
     read_some(steady_time deadline) = 0;
 };
 
 /// How a call uses connections.
 enum class connection_use : std::uint8_t {
-    /// An idle connection may be used again.
+    /// An idle connection may be reused.
     reuse,
-    /// A new connection, for calls that must not meet a half-closed one.
+    /// Opens a new connection, for calls that must not be sent on one that
+    /// the peer is closing.
     fresh,
 };
 
-/// How an answer without length or end mark is taken.
+/// How a response with neither a length nor an end marker is treated.
 enum class unframed_answer : std::uint8_t {
-    /// As cut short: its end can't be told from a crash.
+    /// As truncated: its end can't be told from a crash of the upstream.
     refuse,
-    /// As whole if the connection was closed in order.
+    /// As complete if the connection was closed in order.
     accept,
 };
 
-/// An HTTP/1.1 client with idle connections kept for each address. Belongs
+/// An HTTP/1.1 client with a pool of idle connections per address. Belongs
 /// to one I/O context and is used on that context's thread only.
 ///
-/// Its errors tell what the upstream can have seen: `not_run_no_upstream`
-/// and `not_run_deadline` mean that no byte of the request was handed to a
-/// socket; `unknown_upstream_lost` and `unknown_deadline` that some were.
+/// Error codes say whether the upstream may have received the request:
+/// `not_run_no_upstream` and `not_run_deadline` mean that no byte of it was
+/// written to a socket; `unknown_upstream_lost` and `unknown_deadline` mean
+/// that some bytes may have been.
 class http_client {
 public:
     explicit http_client(boost::asio::io_context& context,
@@ -59,21 +62,22 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /// Sends a request and returns the answer as it begins. From `write_by`
-    /// on no byte is handed to a socket: `not_run_deadline`.
+    /// Sends a request and returns once the response header has arrived. If
+    /// the request can't be written before `write_by`, nothing is written and
+    /// the call fails with `not_run_deadline`.
     boost::asio::awaitable<outcome<std::unique_ptr<http_stream>>>
     open(endpoint address, http_request request, steady_time deadline,
          connection_use use = connection_use::reuse,
          steady_time write_by = steady_time::max());
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and returns the complete response.
     boost::asio::awaitable<outcome<http_response>>
     call(endpoint address, http_request request, steady_time deadline,
          connection_use use = connection_use::reuse,
          steady_time write_by = steady_time::max());
 
-    /// Closes the idle connections to an address whose kept connections may
-    /// have gone silent.
+    /// Closes the idle connections to an address. For use when they may have
+    /// been lost without a reset.
     void drop_idle(const endpoint& address);
 
 private:
@@ -82,7 +86,7 @@
     std::shared_ptr<pool> pool_;
 };
 
-/// Makes one call and waits for it, for tools and tests. Blocks the thread.
+/// Makes one call and blocks the thread until it ends. For tools and tests.
 [[nodiscard]] outcome<http_response>
 call_blocking(const endpoint& address, http_request request,
               std::chrono::milliseconds timeout);
--- a/drivers/http/http_server.cpp
+++ b/drivers/http/http_server.cpp
@@ -48,7 +48,7 @@
            error == http::error::header_limit;
 }
 
-/// One request on a connection.
+/// One request and its response on a connection.
 class connection_exchange final : public http_exchange {
 public:
     connection_exchange(beast::tcp_stream& stream, string_request&& request,
@@ -69,19 +69,20 @@
     void forbid_reuse() { is_keep_alive_ = false; }
     void close_after_answer() override { is_keep_alive_ = false; }
 
-    asio::awaitable<void> wait_caller_gone() override {
+    asio::awaitable<void> wait_for_disconnect() override {
         const auto [error] =
             co_await stream_.socket().async_wait(tcp::socket::wait_read, await);
-        if (error || is_caller_gone()) {
+        if (error || is_caller_disconnected()) {
             co_return;
         }
-        // The caller has sent its next request already; it isn't gone.
+        // The caller is still connected: it has already sent its next
+        // request. Waits until the await is cancelled.
         asio::steady_timer never(stream_.get_executor());
         never.expires_at(asio::steady_timer::time_point::max());
         co_await never.async_wait(await);
     }
 
-    bool is_caller_gone() override {
+    bool is_caller_disconnected() override {
         char byte = 0;
         const auto received = ::recv(stream_.socket().native_handle(), &byte, 1,
                                      MSG_PEEK | MSG_DONTWAIT);
@@ -152,7 +153,7 @@
     bool is_complete_ = false;
 };
 
-/// Closes with a reset, so that a cut answer never looks whole.
+/// Closes with a reset, so that a truncated response never looks complete.
 void reset_connection(beast::tcp_stream& stream) {
     beast::error_code ignored;
     stream.socket().set_option(asio::socket_base::linger(true, 0), ignored);
@@ -171,12 +172,12 @@
 
     asio::awaitable<void> accept_all();
     asio::awaitable<void> serve(tcp::socket socket, std::size_t worker);
-    asio::awaitable<bool> serve_one(beast::tcp_stream& stream,
-                                    beast::flat_buffer& buffer,
-                                    std::size_t worker);
+    asio::awaitable<bool> serve_request(beast::tcp_stream& stream,
+                                        beast::flat_buffer& buffer,
+                                        std::size_t worker);
     asio::awaitable<void> handle(connection_exchange& exchange);
-    asio::awaitable<void> refuse(beast::tcp_stream& stream,
-                                 beast::error_code error);
+    asio::awaitable<void> answer_parse_error(beast::tcp_stream& stream,
+                                             beast::error_code error);
 
     traffic_pool& pool;
     caller_limits limits;
@@ -216,14 +217,13 @@
     beast::flat_buffer buffer;
     bool is_open = true;
     while (is_open && !is_stopping) {
-        is_open = co_await serve_one(stream, buffer, worker);
+        is_open = co_await serve_request(stream, buffer, worker);
     }
     stream.socket().shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-asio::awaitable<bool> http_server::state::serve_one(beast::tcp_stream& stream,
-                                                    beast::flat_buffer& buffer,
-                                                    std::size_t worker) {
+asio::awaitable<bool> http_server::state::serve_request(
+    beast::tcp_stream& stream, beast::flat_buffer& buffer, std::size_t worker) {
     http::request_parser<http::string_body> parser;
     parser.header_limit(limits.max_header_bytes);
     parser.body_limit(limits.max_body_bytes);
@@ -232,7 +232,7 @@
     const auto [error, size] =
         co_await http::async_read(stream, buffer, parser, await);
     if (error) {
-        co_await refuse(stream, error);
+        co_await answer_parse_error(stream, error);
         co_return false;
     }
     stream.expires_never();
@@ -265,8 +265,9 @@
     }
 }
 
-asio::awaitable<void> http_server::state::refuse(beast::tcp_stream& stream,
-                                                 beast::error_code error) {
+asio::awaitable<void>
+http_server::state::answer_parse_error(beast::tcp_stream& stream,
+                                       beast::error_code error) {
     const bool is_malformed =
         error.category() ==
             make_error_code(http::error::bad_method).category() &&
--- a/drivers/http/http_server.hpp
+++ b/drivers/http/http_server.hpp
@@ -13,46 +13,48 @@
 
 namespace savorydock {
 
-/// One request and the answer to it. Lives on one traffic thread.
+/// One request and its response. Used on one traffic thread only.
 class http_exchange {
 public:
     virtual ~http_exchange() = default;
 
     [[nodiscard]] virtual const http_request& request() const = 0;
 
-    /// The traffic thread that carries the connection.
+    /// The index of the traffic thread that serves the connection.
     [[nodiscard]] virtual std::size_t worker() const = 0;
 
-    /// Sends a whole answer; false if the caller is gone.
+    /// Sends a complete response; false if the caller has disconnected.
     virtual boost::asio::awaitable<bool> respond(http_response response) = 0;
 
-    /// Begins a chunked answer. Precondition: nothing was sent yet.
+    /// Begins a chunked response. Precondition: nothing was sent yet.
     virtual boost::asio::awaitable<bool> begin_stream(unsigned status,
                                                       http_headers headers) = 0;
-    /// Sends one chunk; false if the caller is gone. An empty one is skipped.
+    /// Sends one chunk; false if the caller has disconnected. An empty chunk
+    /// is skipped.
     virtual boost::asio::awaitable<bool> write_chunk(std::string chunk) = 0;
 
-    /// Ends a chunked answer as whole. Without this call the caller sees a
-    /// broken connection, never a whole answer.
+    /// Marks a chunked response as complete. Without this call the connection
+    /// is reset, so that the caller never takes the response for complete.
     virtual boost::asio::awaitable<bool> end_stream() = 0;
 
     [[nodiscard]] virtual bool has_begun() const = 0;
 
-    /// Whether the caller has closed its connection, as far as can be seen.
-    [[nodiscard]] virtual bool is_caller_gone() = 0;
+    /// Whether the caller's connection is known to be closed.
+    [[nodiscard]] virtual bool is_caller_disconnected() = 0;
 
-    /// Returns once the caller has closed its connection. To be awaited
-    /// beside the work for the caller and cancelled with it.
-    virtual boost::asio::awaitable<void> wait_caller_gone() = 0;
+    /// Returns once the caller has closed its connection. Await it in parallel
+    /// with the work for the caller, and cancel it when that work ends.
+    virtual boost::asio::awaitable<void> wait_for_disconnect() = 0;
 
-    /// The answer tells the caller that its connection closes after it.
+    /// Closes the connection after the response and says so in its header.
     virtual void close_after_answer() = 0;
 };
 
 using http_handler =
     std::function<boost::asio::awaitable<void>(http_exchange&)>;
 
-/// An HTTP/1.1 server over a traffic pool. The pool must outlive it.
+/// An HTTP/1.1 server on the threads of a traffic pool, which must outlive
+/// it.
 class http_server {
 public:
     http_server(traffic_pool& pool, caller_limits limits, http_handler handler);
@@ -60,25 +62,24 @@
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Listens; port 0 takes any free port. Returns the address in use.
+    /// Starts to listen; port 0 selects a free port. Returns the bound address.
     /// Errors: `invalid_settings`. Thread safe.
     [[nodiscard]] outcome<endpoint> listen(const endpoint& address);
 
-    /// Bounds of the connections and requests that come from now on. Thread
-    /// safe.
+    /// Sets the limits for new connections and requests. Thread safe.
     void set_limits(const caller_limits& limits);
 
-    /// Tells each caller from now on that its connection closes after the
-    /// answer, and goes on serving. Thread safe, idempotent.
+    /// Keeps serving, but closes each connection after its next response and
+    /// says so in that response. Thread safe, idempotent.
     void announce_close();
 
-    /// Accepts no further connection and closes each after its current
+    /// Stops accepting connections and closes each open one after its current
     /// request. Thread safe, idempotent.
     void stop_accepting();
 
-    /// Requests being handled now. Thread safe.
+    /// The number of requests being handled. Thread safe.
     [[nodiscard]] std::size_t active_requests() const;
-    /// Connections open now. Thread safe.
+    /// The number of open connections. Thread safe.
     [[nodiscard]] std::size_t open_connections() const;
 
 private:
--- a/drivers/http/traffic_pool.hpp
+++ b/drivers/http/traffic_pool.hpp
@@ -10,8 +10,8 @@
 
 namespace savorydock {
 
-/// The traffic threads: one I/O context each, so that a connection lives on
-/// one thread and needs no lock.
+/// The traffic threads. Each runs its own I/O context, so that a connection
+/// stays on one thread and needs no lock.
 class traffic_pool {
 public:
     /// Starts `threads` threads. Precondition: threads > 0.
@@ -22,10 +22,10 @@
 
     [[nodiscard]] std::size_t size() const { return workers_.size(); }
 
-    /// The context of one thread. Precondition: index < size().
+    /// Returns the context of one thread. Precondition: index < size().
     [[nodiscard]] boost::asio::io_context& context(std::size_t index);
 
-    /// Ends all threads at once; what runs is dropped. Idempotent.
+    /// Stops all threads without finishing pending work. Idempotent.
     void stop();
 
 private:
--- a/tests/drivers/http/http_client_reset_test.cpp
+++ b/tests/drivers/http/http_client_reset_test.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-// An order to an instance and a request to an upstream arrived seconds after
-// they had been given up, when a partition healed (UNASKED on surtitle-cues
-// trouble-1, seed 853684052112). A closed connection would still deliver them.
-TEST_F(http_client_reset_test, given_up_call_resets_its_connection) {
+// A message that is still buffered during a network partition must not be
+// delivered after its sender has given it up. An ordinary close would still
+// deliver it once the partition heals, seconds later; a reset discards it.
+TEST_F(http_client_reset_test, timed_out_call_resets_its_connection) {
     asio::io_context context;
     tcp::acceptor acceptor(context, tcp::endpoint(tcp::v4(), 0));
     boost::system::error_code end;
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -215,7 +215,7 @@
     bool is_open =
         co_await exchange.write_chunk(json::serialize(message) + '\n') &&
         !message["result"].as_object().contains("canceled");
-    while (is_open && !exchange.is_caller_gone()) {
+    while (is_open && !exchange.is_caller_disconnected()) {
         std::vector<fake_store_change> changes;
         {
             const std::lock_guard lock(mutex_);
--- a/tests/fakes/fake_users_store.cpp
+++ b/tests/fakes/fake_users_store.cpp
@@ -257,7 +257,7 @@
             }
             const bool is_over =
                 !is_lost_watch && std::chrono::steady_clock::now() >= end;
-            if (!is_empty || is_over || exchange.is_caller_gone()) {
+            if (!is_empty || is_over || exchange.is_caller_disconnected()) {
                 break;
             }
             asio::steady_timer timer(co_await asio::this_coro::executor);
