--- a/drivers/peer/http2_session.cpp
+++ b/drivers/peer/http2_session.cpp
@@ -15,9 +15,9 @@
 
 constexpr std::string_view peer_path = "/peer";
 constexpr std::size_t output_chunk_bytes = 65'536;
-/// Room for a whole message of usual size without a window update.
+/// Fits a complete message of usual size without a window update.
 constexpr std::uint32_t window_bytes = 1U << 20U;
-/// SETTINGS and PING answers that a peer may leave unread.
+/// Limit on queued SETTINGS and PING acknowledgements that a peer hasn't read.
 constexpr std::size_t max_outbound_acks = 256;
 constexpr unsigned status_not_found = 404;
 
@@ -31,7 +31,7 @@
 };
 
 nghttp2_nv header(std::string_view name, std::string_view value) {
-    // The library copies both and changes neither.
+    // nghttp2 copies both strings and modifies neither.
     auto bytes = [](std::string_view text) {
         return reinterpret_cast<std::uint8_t*>(const_cast<char*>(text.data()));
     };
@@ -52,7 +52,7 @@
     nghttp2_session* session = nullptr;
     std::map<std::int32_t, stream> streams;
     std::size_t buffered = 0;
-    bool has_peer_left = false;
+    bool has_received_goaway = false;
 
     stream* find(std::int32_t id) {
         const auto found = streams.find(id);
@@ -64,7 +64,7 @@
         entry.body.clear();
     }
 
-    void refuse(std::int32_t id, stream& entry, const char* why) {
+    void refuse_stream(std::int32_t id, stream& entry, const char* why) {
         entry.is_refused = true;
         release(entry);
         nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, id,
@@ -72,23 +72,23 @@
         handlers.on_refused({result_code::bad_frame, why});
     }
 
-    void take_data(std::int32_t id, std::string_view data) {
+    void on_data(std::int32_t id, std::string_view data) {
         stream* entry = find(id);
         if (entry == nullptr || entry->is_refused ||
             role != http2_role::server) {
             return;
         }
         if (entry->body.size() + data.size() > limits.max_body_bytes) {
-            return refuse(id, *entry, "message too large");
+            return refuse_stream(id, *entry, "message too large");
         }
         if (buffered + data.size() > limits.max_buffered_bytes) {
-            return refuse(id, *entry, "too many bytes in open streams");
+            return refuse_stream(id, *entry, "too many bytes in open streams");
         }
         buffered += data.size();
         entry->body.append(data);
     }
 
-    void finish_request(std::int32_t id) {
+    void answer_request(std::int32_t id) {
         stream* entry = find(id);
         if (entry == nullptr || entry->is_refused) {
             return;
@@ -105,8 +105,8 @@
         nghttp2_submit_response(session, id, &fields, 1, nullptr);
     }
 
-    void take_header(std::int32_t id, std::string_view name,
-                     std::string_view value) {
+    void on_header(std::int32_t id, std::string_view name,
+                   std::string_view value) {
         stream* entry = find(id);
         if (entry == nullptr) {
             return;
@@ -122,15 +122,15 @@
         }
     }
 
-    void take_frame(const nghttp2_frame& frame) {
+    void on_frame(const nghttp2_frame& frame) {
         if (frame.hd.type == NGHTTP2_GOAWAY) {
-            has_peer_left = true;
+            has_received_goaway = true;
         }
         const bool is_message =
             frame.hd.type == NGHTTP2_DATA || frame.hd.type == NGHTTP2_HEADERS;
         if (role == http2_role::server && is_message &&
             (frame.hd.flags & NGHTTP2_FLAG_END_STREAM) != 0) {
-            finish_request(frame.hd.stream_id);
+            answer_request(frame.hd.stream_id);
         }
     }
 
@@ -184,19 +184,19 @@
                   const std::uint8_t* name, std::size_t name_size,
                   const std::uint8_t* value, std::size_t value_size,
                   std::uint8_t, void* user) {
-            of(user).take_header(frame->hd.stream_id, text_of(name, name_size),
-                                 text_of(value, value_size));
+            of(user).on_header(frame->hd.stream_id, text_of(name, name_size),
+                               text_of(value, value_size));
             return 0;
         });
     nghttp2_session_callbacks_set_on_data_chunk_recv_callback(
         calls, [](nghttp2_session*, std::uint8_t, std::int32_t id,
                   const std::uint8_t* data, std::size_t size, void* user) {
-            of(user).take_data(id, text_of(data, size));
+            of(user).on_data(id, text_of(data, size));
             return 0;
         });
     nghttp2_session_callbacks_set_on_frame_recv_callback(
         calls, [](nghttp2_session*, const nghttp2_frame* frame, void* user) {
-            of(user).take_frame(*frame);
+            of(user).on_frame(*frame);
             return 0;
         });
     nghttp2_session_callbacks_set_on_stream_close_callback(
@@ -286,7 +286,7 @@
 
 bool http2_session::is_violated() const {
     return nghttp2_session_want_read(state_->session) == 0 &&
-           !state_->has_peer_left;
+           !state_->has_received_goaway;
 }
 
 std::string http2_session::take_output() {
--- a/drivers/peer/http2_session.hpp
+++ b/drivers/peer/http2_session.hpp
@@ -13,26 +13,27 @@
 
 enum class http2_role : std::uint8_t { client, server };
 
-/// Bounds of what one peer can make a session hold.
+/// Limits on the memory that one peer can make a session use.
 struct http2_limits {
     std::size_t max_body_bytes = 2U << 20U;
-    /// Bodies of all open streams together.
+    /// Total size of the bodies of all open streams.
     std::size_t max_buffered_bytes = 8U << 20U;
     std::uint32_t max_streams = 64;
 };
 
 struct http2_handlers {
-    /// Server: takes a whole body, returns the HTTP status of the answer.
+    /// Server: handles a complete body and returns the HTTP response status.
     std::function<unsigned(std::string body)> on_request;
-    /// Server: a stream was refused before it was whole.
+    /// Server: a stream was refused because of its size or its method and path.
     std::function<void(const failure& reason)> on_refused;
-    /// Client: a stream ended; the status is 0 if no answer came.
+    /// Client: a stream ended; the status is 0 if no response arrived.
     std::function<void(unsigned status)> on_response;
 };
 
-/// HTTP/2 with prior knowledge for POST /peer, one message a stream, by
-/// nghttp2. It does no I/O: bytes in, bytes out. Not thread safe. Handlers
-/// run inside `receive` and must not call the session.
+/// An HTTP/2 session with prior knowledge, based on nghttp2. Each message is
+/// one stream, a POST to /peer. The session does no I/O: the caller feeds it
+/// received bytes and sends its output. Not thread safe. Handlers run inside
+/// `receive` and must not call the session.
 class http2_session {
 public:
     http2_session(http2_role role, http2_limits limits,
@@ -41,18 +42,18 @@
     http2_session(const http2_session&) = delete;
     http2_session& operator=(const http2_session&) = delete;
 
-    /// Client: queues a request; false if the limits forbid it.
+    /// Client: queues a request; false if it would exceed the limits.
     [[nodiscard]] bool submit(std::string body);
 
-    /// Takes bytes from the peer. Errors: `bad_frame`; the connection must
+    /// Processes bytes from the peer. Errors: `bad_frame`; the connection must
     /// then be closed.
     [[nodiscard]] outcome<done> receive(std::string_view bytes);
 
-    /// Bytes to send, at most about 64 KiB at once; empty if there are none.
+    /// Returns bytes to send, about 64 KiB at most; empty if there are none.
     [[nodiscard]] std::string take_output();
 
-    /// Whether the peer broke the protocol. True once the last words to the
-    /// peer were taken as output; the connection must then be closed.
+    /// Whether the peer violated the protocol. Becomes true once the final
+    /// output has been taken; the connection must then be closed.
     [[nodiscard]] bool is_violated() const;
 
     [[nodiscard]] std::size_t open_streams() const;
--- a/drivers/peer/peer_backoff.cpp
+++ b/drivers/peer/peer_backoff.cpp
@@ -13,7 +13,7 @@
     return found != peers_.end() && now < found->second.retry_at;
 }
 
-void peer_backoff::note_failure(const std::string& peer, steady_time now) {
+void peer_backoff::record_failure(const std::string& peer, steady_time now) {
     if (peers_.size() >= max_peers && !peers_.contains(peer)) {
         return;
     }
@@ -25,11 +25,11 @@
         now + std::chrono::milliseconds(half + random_.below(half + 1));
 }
 
-void peer_backoff::note_success(const std::string& peer) {
+void peer_backoff::record_success(const std::string& peer) {
     peers_.erase(peer);
 }
 
-void peer_backoff::forget(steady_time now) {
+void peer_backoff::remove_expired(steady_time now) {
     std::erase_if(peers_, [&](const auto& entry) {
         return now - entry.second.retry_at > options_.max_delay;
     });
--- a/drivers/peer/peer_backoff.hpp
+++ b/drivers/peer/peer_backoff.hpp
@@ -17,8 +17,8 @@
     std::uint64_t seed = 1;
 };
 
-/// When peers that could not be reached may be tried again. The delay
-/// doubles with each failure and is jittered. Bounded. Not thread safe.
+/// Decides when to retry unreachable peers. The delay of a peer doubles with
+/// each failure and is jittered. Tracks at most `max_peers`. Not thread safe.
 class peer_backoff {
 public:
     static constexpr std::size_t max_peers = 4'096;
@@ -27,11 +27,11 @@
 
     [[nodiscard]] bool must_wait(const std::string& peer,
                                  steady_time now) const;
-    void note_failure(const std::string& peer, steady_time now);
-    void note_success(const std::string& peer);
+    void record_failure(const std::string& peer, steady_time now);
+    void record_success(const std::string& peer);
 
-    /// Forgets peers that were not tried for long.
-    void forget(steady_time now);
+    /// Removes peers whose retry time passed more than `max_delay` ago.
+    void remove_expired(steady_time now);
 
 private:
     struct failed_peer {
--- a/drivers/peer/peer_connection.cpp
+++ b/drivers/peer/peer_connection.cpp
@@ -32,11 +32,11 @@
 
 void peer_connection::start() {
     is_connected_ = true;
-    last_heard_ = std::chrono::steady_clock::now();
+    last_received_ = std::chrono::steady_clock::now();
     error_code ignored;
     socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-    // A message that was given up must not arrive after a partition has
-    // healed: its sender acts as if it was lost.
+    // Closing sends a reset, so that buffered messages don't arrive after a
+    // partition has healed: their sender treats them as lost.
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     read();
     write();
@@ -69,8 +69,8 @@
             self->fail(result_code::peer_unreachable, error.message());
             return;
         }
-        self->last_heard_ = std::chrono::steady_clock::now();
-        self->last_used_ = self->last_heard_;
+        self->last_received_ = std::chrono::steady_clock::now();
+        self->last_used_ = self->last_received_;
         const auto taken = self->session_.receive({self->input_.data(), size});
         if (!taken) {
             self->fail(taken.reason().code, taken.reason().detail);
--- a/drivers/peer/peer_connection.hpp
+++ b/drivers/peer/peer_connection.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-// Only the link's own source files include this header, and with it Asio.
+// Include this header only in the peer link's sources, since it includes Asio.
 
 #include "core/clock.hpp"
 #include "drivers/peer/http2_session.hpp"
@@ -18,36 +18,37 @@
     http2_role role = http2_role::client;
     http2_limits limits;
     http2_handlers handlers;
-    /// Called once, from the event loop, with the reason.
+    /// Called at most once, on the event loop, with the reason.
     std::function<void(const failure& reason)> on_closed;
 };
 
-/// One TCP connection with an HTTP/2 session on it. Not thread safe: lives
-/// on the thread that runs its event loop. A closed connection stays closed.
+/// A TCP connection that carries an HTTP/2 session. Not thread safe: use it
+/// only on the thread that runs its event loop. It can't be reopened.
 class peer_connection : public std::enable_shared_from_this<peer_connection> {
 public:
     peer_connection(boost::asio::ip::tcp::socket socket,
                     peer_connection_options options);
 
-    /// Client: connects, then starts.
+    /// Client: connects, then calls `start`.
     void connect(const boost::asio::ip::tcp::endpoint& to);
 
-    /// Starts to read and write. Precondition: the socket is connected.
+    /// Starts reading and writing. Precondition: the socket is connected.
     void start();
 
-    /// Client: queues a message; false if the queue is full.
+    /// Client: queues a message; false if the connection is closed or the
+    /// message would exceed the limits.
     [[nodiscard]] bool submit(std::string body);
 
-    /// Ends the connection; `on_closed` is not called.
+    /// Closes the connection without calling `on_closed`.
     void close();
 
     [[nodiscard]] bool is_connected() const { return is_connected_; }
     [[nodiscard]] std::size_t open_streams() const {
         return session_.open_streams();
     }
-    /// When bytes last came in, or the connection was made.
-    [[nodiscard]] steady_time last_heard() const { return last_heard_; }
-    /// When a message was last queued or came in.
+    /// When bytes were last received, or the connection was established.
+    [[nodiscard]] steady_time last_received() const { return last_received_; }
+    /// When a message was last queued or bytes were last received.
     [[nodiscard]] steady_time last_used() const { return last_used_; }
 
 private:
@@ -65,8 +66,8 @@
     bool is_connected_ = false;
     bool is_writing_ = false;
     bool is_closed_ = false;
-    steady_time last_heard_ = std::chrono::steady_clock::now();
-    steady_time last_used_ = last_heard_;
+    steady_time last_received_ = std::chrono::steady_clock::now();
+    steady_time last_used_ = last_received_;
 };
 
 } // namespace savorydock
--- a/drivers/peer/peer_counters.hpp
+++ b/drivers/peer/peer_counters.hpp
@@ -8,7 +8,7 @@
 
 namespace savorydock {
 
-/// Messages of one topic. Bytes are those of the encoded envelopes.
+/// Message counts of one topic. Bytes are the sizes of encoded envelopes.
 struct peer_topic_counters {
     std::uint64_t messages_in = 0;
     std::uint64_t messages_out = 0;
@@ -16,23 +16,23 @@
     std::uint64_t bytes_out = 0;
 };
 
-/// What a peer link has done since it started.
+/// Counters of a peer link since it started.
 struct peer_counters {
     static constexpr std::size_t topic_count = 15;
 
     /// Indexed by the number of the topic.
     std::array<peer_topic_counters, topic_count> topics;
-    /// Not sent: the queue was full, or the peer was just unreachable.
+    /// Not sent: the queue was full, or the peer was in backoff.
     std::uint64_t dropped = 0;
-    /// Sent, but the connection ended before the peer took it.
+    /// Queued, but the connection ended or the peer refused the message.
     std::uint64_t lost = 0;
-    /// Came in and was refused.
+    /// Received and refused.
     std::uint64_t refused = 0;
     /// Dropped by the fault switch.
     std::uint64_t cut = 0;
     std::uint64_t connects = 0;
     std::uint64_t connect_failures = 0;
-    /// Connections open now, towards peers and from them.
+    /// Open connections, to peers and from peers.
     std::uint64_t open_out = 0;
     std::uint64_t open_in = 0;
 
--- a/drivers/peer/peer_envelope.hpp
+++ b/drivers/peer/peer_envelope.hpp
@@ -9,7 +9,7 @@
 
 namespace savorydock {
 
-/// What one stream between instances carries.
+/// A message between instances as it is encoded in one HTTP/2 stream.
 struct peer_envelope {
     instance_id from;
     instance_id to;
--- a/drivers/peer/peer_fault_switch.hpp
+++ b/drivers/peer/peer_fault_switch.hpp
@@ -8,16 +8,17 @@
 
 namespace savorydock {
 
-/// Drops messages to and from chosen peers, as a network partition would.
-/// For tests of failures. Thread safe.
+/// Drops messages to and from chosen peers to simulate a network partition.
+/// For failure tests. Thread safe.
 class peer_fault_switch {
 public:
-    /// Replaces what is cut off; empty sets heal the network.
+    /// Replaces the sets of peers that are cut off; empty sets end the
+    /// partition.
     void cut(std::set<instance_id> instances,
              std::set<availability_zone> zones);
 
-    /// Whether messages to or from that peer are dropped. An empty zone
-    /// stands for one that is not known.
+    /// Whether messages to or from that peer are dropped. Pass an empty zone if
+    /// it is unknown.
     [[nodiscard]] bool is_cut(const instance_id& instance,
                               const availability_zone& zone) const;
 
--- a/drivers/peer/peer_link.cpp
+++ b/drivers/peer/peer_link.cpp
@@ -28,14 +28,14 @@
 
 namespace {
 
-constexpr unsigned status_taken = 204;
+constexpr unsigned status_accepted = 204;
 constexpr unsigned status_bad_envelope = 400;
 constexpr unsigned status_wrong_key = 403;
 constexpr unsigned status_wrong_receiver = 421;
 constexpr std::chrono::milliseconds sweep_period{500};
 constexpr std::chrono::milliseconds accept_pause{100};
 constexpr std::chrono::seconds refusal_log_period{1};
-/// Zones of peers that the fault switch has to know.
+/// Limit on the peers whose zones are stored for the fault switch.
 constexpr std::size_t max_known_zones = 4'096;
 
 bool is_known(peer_topic topic) {
@@ -43,7 +43,7 @@
     return number > 0 && number < peer_counters::topic_count;
 }
 
-/// Returns the status of the answer, and why a message is refused.
+/// Returns the response status. If it refuses the message, sets `reason`.
 unsigned check(const peer_envelope& envelope, const peer_link_options& options,
                failure& reason) {
     reason.code = result_code::bad_frame;
@@ -52,14 +52,14 @@
         return status_wrong_key;
     }
     if (envelope.to != options.instance) {
-        reason.detail = "for instance " + envelope.to.text();
+        reason.detail = "addressed to instance " + envelope.to.text();
         return status_wrong_receiver;
     }
     if (envelope.from.is_empty() || !is_known(envelope.topic)) {
-        reason.detail = "no sender or no such topic";
+        reason.detail = "missing sender or unknown topic";
         return status_bad_envelope;
     }
-    return status_taken;
+    return status_accepted;
 }
 
 outcome<tcp::endpoint> resolve(const endpoint& target) {
@@ -113,16 +113,18 @@
     void close_connections();
     void accept();
     void accept_later();
-    void adopt(tcp::socket socket);
+    void add_incoming(tcp::socket socket);
     void sweep_later();
     void sweep();
-    void deliver(std::string bytes, peer_topic topic, const endpoint& to);
+    void submit_message(std::string bytes, peer_topic topic,
+                        const endpoint& to);
     connection_ptr connection_to(const endpoint& to);
     connection_ptr open(const endpoint& to);
     [[nodiscard]] bool make_room();
-    void note_failure(const std::string& key, const failure& reason);
-    unsigned take(const std::string& bytes);
-    void refuse(const failure& reason);
+    void handle_connection_failure(const std::string& key,
+                                   const failure& reason);
+    unsigned receive(const std::string& bytes);
+    void record_refusal(const failure& reason);
     void remember_zone(const peer_envelope& envelope);
     [[nodiscard]] availability_zone zone_of(const instance_id& instance) const;
     [[nodiscard]] http2_limits limits() const;
@@ -204,11 +206,12 @@
             return;
         }
         if (error) {
-            // Usually out of descriptors: a pause, or the loop would spin.
+            // Usually out of file descriptors. Pauses so that the loop
+            // doesn't spin.
             self->accept_later();
             return;
         }
-        self->adopt(std::move(socket));
+        self->add_incoming(std::move(socket));
         self->accept();
     });
 }
@@ -223,12 +226,12 @@
         });
 }
 
-void peer_link::impl::adopt(tcp::socket socket) {
+void peer_link::impl::add_incoming(tcp::socket socket) {
     if (incoming_.size() >= options_.max_accepted) {
-        refuse({result_code::bad_frame, "too many connections"});
+        record_refusal({result_code::bad_frame, "too many connections"});
         return;
     }
-    // The connection is known to its handlers by a weak pointer only.
+    // The handlers hold the connection by a weak pointer to avoid a cycle.
     auto holder = std::make_shared<std::weak_ptr<peer_connection>>();
     const auto connection = std::make_shared<peer_connection>(
         std::move(socket),
@@ -237,13 +240,14 @@
             .limits = limits(),
             .handlers = {
                 .on_request =
-                    [this](const std::string& body) { return take(body); },
-                .on_refused = [this](const failure& reason) { refuse(reason); },
+                    [this](const std::string& body) { return receive(body); },
+                .on_refused =
+                    [this](const failure& reason) { record_refusal(reason); },
                 .on_response = {}},
             .on_closed =
                 [this, holder](const failure& reason) {
                     if (reason.code == result_code::bad_frame) {
-                        refuse(reason);
+                        record_refusal(reason);
                     }
                     incoming_.erase(holder->lock());
                     publish_open_counts();
@@ -268,29 +272,30 @@
 
 void peer_link::impl::sweep() {
     const auto now = std::chrono::steady_clock::now();
-    std::vector<std::pair<std::string, std::string>> stuck;
+    std::vector<std::pair<std::string, std::string>> timed_out;
     for (auto entry = outgoing_.begin(); entry != outgoing_.end();) {
         const peer_connection& connection = *entry->second;
-        const auto since_heard = now - connection.last_heard();
-        const bool waits = connection.open_streams() > 0;
+        const auto since_received = now - connection.last_received();
+        const bool is_waiting = connection.open_streams() > 0;
         if (!connection.is_connected() &&
-            since_heard > options_.connect_timeout) {
-            stuck.emplace_back(entry->first, "no connection in time");
-        } else if (waits && since_heard > options_.answer_timeout &&
+            since_received > options_.connect_timeout) {
+            timed_out.emplace_back(entry->first, "connect timed out");
+        } else if (is_waiting && since_received > options_.answer_timeout &&
                    now - connection.last_used() < options_.idle_timeout) {
-            stuck.emplace_back(entry->first, "no answer in time");
+            timed_out.emplace_back(entry->first, "response timed out");
         }
-        if (!waits && now - connection.last_used() > options_.idle_timeout) {
+        if (!is_waiting &&
+            now - connection.last_used() > options_.idle_timeout) {
             entry->second->close();
             entry = outgoing_.erase(entry);
         } else {
             ++entry;
         }
     }
-    for (const auto& [key, why] : stuck) {
-        note_failure(key, {result_code::peer_unreachable, why});
+    for (const auto& [key, why] : timed_out) {
+        handle_connection_failure(key, {result_code::peer_unreachable, why});
     }
-    // Peers close idle connections first; this ends those of dead peers.
+    // Peers close idle connections first; this closes those of failed peers.
     std::erase_if(incoming_, [&](const connection_ptr& connection) {
         if (now - connection->last_used() <= 2 * options_.idle_timeout) {
             return false;
@@ -298,7 +303,7 @@
         connection->close();
         return true;
     });
-    backoff_.forget(now);
+    backoff_.remove_expired(now);
     publish_open_counts();
 }
 
@@ -317,12 +322,12 @@
     });
     asio::post(context_, [self = shared_from_this(), bytes = std::move(bytes),
                           topic = message.topic, to]() mutable {
-        self->deliver(std::move(bytes), topic, to);
+        self->submit_message(std::move(bytes), topic, to);
     });
 }
 
-void peer_link::impl::deliver(std::string bytes, peer_topic topic,
-                              const endpoint& to) {
+void peer_link::impl::submit_message(std::string bytes, peer_topic topic,
+                                     const endpoint& to) {
     const std::size_t size = bytes.size();
     const connection_ptr connection =
         is_stopped_ || !is_known(topic) ? nullptr : connection_to(to);
@@ -388,15 +393,15 @@
                          .on_refused = {},
                          .on_response =
                              [this, key](unsigned status) {
-                                 if (status == status_taken) {
-                                     backoff_.note_success(key);
+                                 if (status == status_accepted) {
+                                     backoff_.record_success(key);
                                      return;
                                  }
                                  count([](peer_counters& all) { ++all.lost; });
                              }},
             .on_closed =
                 [this, key](const failure& reason) {
-                    note_failure(key, reason);
+                    handle_connection_failure(key, reason);
                 },
         });
     outgoing_.emplace(key, connection);
@@ -406,8 +411,8 @@
     return connection;
 }
 
-void peer_link::impl::note_failure(const std::string& key,
-                                   const failure& reason) {
+void peer_link::impl::handle_connection_failure(const std::string& key,
+                                                const failure& reason) {
     static_cast<void>(reason);
     const auto found = outgoing_.find(key);
     if (found == outgoing_.end()) {
@@ -422,22 +427,22 @@
         all.connect_failures += was_connected ? 0 : 1;
     });
     publish_open_counts();
-    backoff_.note_failure(key, std::chrono::steady_clock::now());
+    backoff_.record_failure(key, std::chrono::steady_clock::now());
 }
 
-unsigned peer_link::impl::take(const std::string& bytes) {
+unsigned peer_link::impl::receive(const std::string& bytes) {
     failure reason;
     const auto envelope = wire::decode<peer_envelope>(bytes);
     const unsigned status =
         envelope ? check(*envelope, options_, reason) : status_bad_envelope;
-    if (status != status_taken) {
-        refuse(envelope ? reason : envelope.reason());
+    if (status != status_accepted) {
+        record_refusal(envelope ? reason : envelope.reason());
         return status;
     }
     remember_zone(*envelope);
     if (faults_.is_cut(envelope->from, envelope->zone)) {
         count([](peer_counters& all) { ++all.cut; });
-        return status_taken;
+        return status_accepted;
     }
     count([&](peer_counters& all) {
         auto& entry = all.topics.at(static_cast<std::size_t>(envelope->topic));
@@ -450,10 +455,10 @@
                   .topic = envelope->topic,
                   .body = envelope->body});
     }
-    return status_taken;
+    return status_accepted;
 }
 
-void peer_link::impl::refuse(const failure& reason) {
+void peer_link::impl::record_refusal(const failure& reason) {
     count([](peer_counters& all) { ++all.refused; });
     ++refusals_since_log_;
     const auto now = std::chrono::steady_clock::now();
--- a/drivers/peer/peer_link.hpp
+++ b/drivers/peer/peer_link.hpp
@@ -24,16 +24,17 @@
 struct peer_link_options {
     instance_id instance;
     availability_zone zone;
-    /// Port 0 takes any free port.
+    /// Port 0 selects a free port.
     endpoint listen;
     /// The key that all instances of a deployment share.
     std::string peer_key;
     std::size_t max_message_bytes = 2U << 20U;
-    /// Messages to one peer that are not answered yet.
+    /// Limit on unanswered messages to one peer.
     std::uint32_t max_queued = 64;
-    /// Connections towards peers; the one that was idle longest gives way.
+    /// Limit on connections to peers. At the limit, the one that has been idle
+    /// longest is closed to make room.
     std::size_t max_connections = 64;
-    /// Connections from peers; more are closed at once.
+    /// Limit on connections from peers; further ones are closed at once.
     std::size_t max_accepted = 512;
     std::chrono::milliseconds connect_timeout{2'000};
     /// How long a peer may leave messages unanswered.
@@ -45,17 +46,17 @@
     std::uint64_t seed = 1;
 };
 
-/// Messages between instances as HTTP/2 streams over TCP: a server on the
-/// instance's own address and one connection per peer that is talked to.
-/// Bad frames, a wrong key and a wrong receiver are refused, counted and
-/// logged. Messages are neither encrypted nor kept.
+/// Sends messages between instances as HTTP/2 streams over TCP. Runs a server
+/// on the instance's own address and opens one connection per peer that it
+/// sends to. Messages with bad frames, a wrong key or a wrong receiver are
+/// refused, counted and logged. Messages are neither encrypted nor stored.
 ///
 /// Threading: `send`, `counters` and the fault switch are thread safe. The
-/// handler runs on the thread that runs `context`; exactly one may run it.
+/// handler runs on the thread that runs `context`; only one thread may run it.
 class peer_link final : public peer_transport {
 public:
-    /// Preconditions: `context` and `log` outlive the link, and `context` is
-    /// not run any more once what the handler touches is destroyed.
+    /// Preconditions: `context` and `log` outlive the link, and `context` is no
+    /// longer run once objects used by the handler are destroyed.
     peer_link(boost::asio::io_context& context, peer_link_options options,
               logger& log);
     ~peer_link() override;
@@ -64,18 +65,19 @@
 
     void on_message(message_handler handler) override;
 
-    /// Listens and returns the address. Precondition: called once. Errors:
-    /// `peer_unreachable` if the address can't be listened on.
+    /// Starts to listen and returns the bound address. Precondition: called
+    /// once. Errors: `peer_unreachable` if it can't listen on the address.
     [[nodiscard]] outcome<endpoint> start();
 
-    /// Closes all connections soon. Thread safe.
+    /// Closes all connections asynchronously, on the thread of `context`.
+    /// Thread safe.
     void stop();
 
     void send(const peer_message& message, const endpoint& to) override;
 
     [[nodiscard]] peer_counters counters() const;
 
-    /// Lets tests cut this instance off from others.
+    /// Lets tests simulate a partition between this instance and others.
     [[nodiscard]] peer_fault_switch& faults();
 
 private:
--- a/tests/drivers/peer/peer_link_test.cpp
+++ b/tests/drivers/peer/peer_link_test.cpp
@@ -25,7 +25,7 @@
     std::map<log_event, int> events;
 };
 
-/// One instance's end of the link.
+/// One instance with its peer link.
 struct peer_node {
     peer_node(asio::io_context& context, peer_link_options options)
         : name(options.instance)
@@ -58,7 +58,7 @@
                 .answer_timeout = 500ms};
     }
 
-    /// Runs the event loop until the condition holds or 10 s are over.
+    /// Runs the event loop until the condition holds, for at most 10 s.
     bool run_until(const std::function<bool()>& condition) {
         const auto end = std::chrono::steady_clock::now() + 10s;
         while (!condition() && std::chrono::steady_clock::now() < end) {
@@ -76,7 +76,7 @@
                        to.address);
     }
 
-    /// Writes bytes to a node as a stranger would.
+    /// Opens a plain TCP connection to a node and writes bytes to it.
     asio::ip::tcp::socket write_raw(const peer_node& to,
                                     const std::string& bytes) {
         asio::ip::tcp::socket socket(context_);
@@ -114,7 +114,7 @@
     EXPECT_EQ(a_.link.counters().connects, 1U);
 }
 
-TEST_F(peer_link_test, bad_bytes_are_refused_and_the_link_lives_on) {
+TEST_F(peer_link_test, bad_bytes_are_refused_and_the_link_keeps_working) {
     const std::string preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
     const std::vector<std::string> cases{
         "GET / HTTP/1.1\r\n\r\n",
@@ -132,7 +132,7 @@
     EXPECT_TRUE(run_until([&] { return b_.received.size() == 1; }));
 }
 
-TEST_F(peer_link_test, wrong_envelopes_are_refused_unseen) {
+TEST_F(peer_link_test, wrong_envelopes_are_refused_and_not_delivered) {
     const peer_envelope good{.from = a_.name,
                              .to = b_.name,
                              .zone = availability_zone("zone-1"),
@@ -207,7 +207,7 @@
             send(d, *to, "x");
             ASSERT_TRUE(
                 run_until([&] { return to->received.size() > before; }));
-            // The answer frees the connection to give way.
+            // Once answered, the connection is idle and may be closed.
             ASSERT_TRUE(run_until([&] { return context_.poll() == 0; }));
         }
     }
