--- a/drivers/operator_http/publish_command.cpp
+++ b/drivers/operator_http/publish_command.cpp
@@ -91,9 +91,9 @@
                                              revisions, line.timeout);
     bool has_all = true;
     for (const instance_progress& one : progress) {
-        has_all = has_all && one.has_all;
+        has_all = has_all && one.has_all_revisions;
         std::cout << to_text(one.address) << ' ' << one.instance << ": "
-                  << (one.has_all ? "in force" : one.detail) << '\n';
+                  << (one.has_all_revisions ? "in force" : one.detail) << '\n';
     }
     return has_all ? exit_code::ok : exit_code::unknown;
 }
--- a/drivers/platform_kv/blocking_store.hpp
+++ b/drivers/platform_kv/blocking_store.hpp
@@ -10,8 +10,8 @@
 
 namespace savorydock {
 
-/// The platform's service for tools: each call waits for its answer. Not
-/// thread safe.
+/// A client of the platform's store for tools: each call blocks until it is
+/// answered. Not thread safe.
 class blocking_store {
 public:
     /// Precondition: there is at least one address.
--- a/drivers/platform_kv/etcd_gateway_client.cpp
+++ b/drivers/platform_kv/etcd_gateway_client.cpp
@@ -33,7 +33,7 @@
             .body = std::move(call.body)};
 }
 
-// Reads a watch's messages, one a line, until one has news.
+// Reads the messages of a watch, one per line, until one contains changes.
 class watch_reader {
 public:
     explicit watch_reader(stream_pointer stream)
@@ -70,7 +70,7 @@
                 return frame.reason();
             }
             revision_ = frame->answer.revision;
-            if (frame->has_news()) {
+            if (frame->has_changes()) {
                 return frame->answer;
             }
             if (frame->is_cancelled) {
@@ -98,8 +98,8 @@
                                         platform_request request,
                                         steady_time deadline,
                                         reply_handler on_reply);
-    asio::awaitable<answer_outcome> carry_out(platform_request request,
-                                              steady_time deadline);
+    asio::awaitable<answer_outcome> execute(platform_request request,
+                                            steady_time deadline);
     asio::awaitable<outcome<http_response>> call(http_request request,
                                                  steady_time deadline);
     asio::awaitable<answer_outcome> watch(http_request request,
@@ -126,7 +126,8 @@
         }
         use_next_address();
         if (opened) {
-            // A lease that is not there is an answer, not an outage.
+            // Another status, such as that for an unknown lease, is an answer
+            // and not an outage, so this call tries no other address.
             co_return std::move(opened);
         }
         last = opened.reason();
@@ -172,8 +173,8 @@
 }
 
 asio::awaitable<answer_outcome>
-etcd_gateway_client::state::carry_out(platform_request request,
-                                      steady_time deadline) {
+etcd_gateway_client::state::execute(platform_request request,
+                                    steady_time deadline) {
     http_request message = to_http(encode_gateway_call(request));
     if (std::holds_alternative<watch_prefix>(request)) {
         co_return co_await watch(std::move(message), deadline);
@@ -185,14 +186,14 @@
     co_return decode_gateway_answer(request, response->status, response->body);
 }
 
-// Owns the state, which must live until the call has ended.
+// Owns the state, which must outlive the call.
 asio::awaitable<void> etcd_gateway_client::state::answer(
     std::shared_ptr<state> self, platform_request request, steady_time deadline,
     reply_handler on_reply) {
-    answer_outcome result =
-        failure{result_code::platform_unreachable, "the call broke off"};
+    answer_outcome result = failure{result_code::platform_unreachable,
+                                    "the call ended without a result"};
     try {
-        result = co_await self->carry_out(std::move(request), deadline);
+        result = co_await self->execute(std::move(request), deadline);
     } catch (const std::exception& error) {
         result = failure{result_code::platform_unreachable, error.what()};
     }
--- a/drivers/platform_kv/etcd_gateway_client.hpp
+++ b/drivers/platform_kv/etcd_gateway_client.hpp
@@ -10,13 +10,12 @@
 
 namespace savorydock {
 
-/// The platform's service met through the published JSON gateway form of the
-/// etcd v3 API. The only file that knows how the platform is spoken to is
-/// this one with its codec.
+/// A client of the platform's store over the published JSON gateway of the etcd
+/// v3 API. Only this class and its codec depend on that protocol.
 ///
-/// Thread safe. Replies come on the context's thread. Requests that are under
-/// way when the client goes away are still answered as long as the context
-/// runs.
+/// Thread safe. Reply handlers run on the context's thread. Requests in
+/// progress when the client is destroyed are still answered as long as the
+/// context runs.
 class etcd_gateway_client final : public platform_store {
 public:
     /// The addresses are tried in turn. Preconditions: there is at least one;
--- a/drivers/platform_kv/gateway_codec.cpp
+++ b/drivers/platform_kv/gateway_codec.cpp
@@ -17,12 +17,12 @@
 constexpr unsigned http_not_found = 404;
 constexpr std::string_view no_lease_text = "lease not found";
 
-failure not_understood(std::string detail) {
+failure invalid_answer(std::string detail) {
     return {result_code::platform_unreachable,
-            "the answer is not understood: " + std::move(detail)};
+            "invalid response: " + std::move(detail)};
 }
 
-// The gateway writes 64-bit numbers as text and leaves out zeros.
+// The gateway encodes 64-bit numbers as strings and omits zeros.
 std::uint64_t number_of(const json::object& object, std::string_view name) {
     const json::value* const member = object.if_contains(name);
     if (member == nullptr) {
@@ -187,7 +187,7 @@
     }
 };
 
-failure refusal_of(unsigned status, std::string_view body) {
+failure failure_for_status(unsigned status, std::string_view body) {
     const bool is_lease = status == http_not_found &&
                           body.find(no_lease_text) != std::string_view::npos;
     return {is_lease ? result_code::lease_not_held
@@ -195,7 +195,7 @@
             "status " + std::to_string(status)};
 }
 
-// The gateway answers a renewal of a lease that has ended with no time left.
+// The gateway answers the renewal of an expired lease with a TTL of zero.
 bool is_ended_lease(const platform_request& request,
                     const platform_answer& answer) {
     return std::holds_alternative<renew_lease>(request) &&
@@ -224,7 +224,7 @@
                                                unsigned status,
                                                std::string_view body) {
     if (status != http_ok) {
-        return refusal_of(status, body);
+        return failure_for_status(status, body);
     }
     try {
         const json::value parsed = json::parse(body);
@@ -235,7 +235,7 @@
         }
         return reader.answer;
     } catch (const std::exception& error) {
-        return not_understood(error.what());
+        return invalid_answer(error.what());
     }
 }
 
@@ -263,7 +263,7 @@
         }
         return frame;
     } catch (const std::exception& error) {
-        return not_understood(error.what());
+        return invalid_answer(error.what());
     }
 }
 
--- a/drivers/platform_kv/publish_wait.cpp
+++ b/drivers/platform_kv/publish_wait.cpp
@@ -14,10 +14,10 @@
 namespace json = boost::json;
 
 constexpr unsigned http_ok = 200;
-constexpr std::chrono::milliseconds ask_timeout{2'000};
-constexpr std::chrono::milliseconds ask_interval{100};
+constexpr std::chrono::milliseconds query_timeout{2'000};
+constexpr std::chrono::milliseconds query_interval{100};
 
-// Throws std::exception if the status has another form.
+// Throws std::exception if the status has an unexpected form.
 store_revision revision_of(const json::object& status,
                            const service_name& service) {
     const json::value& services =
@@ -37,32 +37,33 @@
         const json::value parsed = json::parse(body);
         const json::object& status = parsed.as_object();
         progress.instance = status.at("instance").as_string();
-        progress.has_all =
+        progress.has_all_revisions =
             status.at("configuration").as_object().at("ready").as_bool();
-        progress.detail = progress.has_all ? "" : "starting";
+        progress.detail = progress.has_all_revisions ? "" : "starting";
         for (const awaited_revision& awaited : revisions) {
             const store_revision held = revision_of(status, awaited.service);
             if (held < awaited.revision) {
-                progress.has_all = false;
+                progress.has_all_revisions = false;
                 progress.detail = awaited.service.text() + " is at " +
                                   std::to_string(held) + ", not " +
                                   std::to_string(awaited.revision);
             }
         }
     } catch (const std::exception& error) {
-        progress.has_all = false;
-        progress.detail = std::string("not a status: ") + error.what();
+        progress.has_all_revisions = false;
+        progress.detail =
+            std::string("invalid status response: ") + error.what();
     }
 }
 
-void ask(const std::string& operator_key,
-         const std::vector<awaited_revision>& revisions,
-         instance_progress& progress) {
+void query_status(const std::string& operator_key,
+                  const std::vector<awaited_revision>& revisions,
+                  instance_progress& progress) {
     const auto answer = call_blocking(
         progress.address,
         {.target = "/v1/status",
          .headers = {{"Authorization", "Bearer " + operator_key}}},
-        ask_timeout);
+        query_timeout);
     if (!answer) {
         progress.detail = answer.reason().detail;
         return;
@@ -89,17 +90,17 @@
     }
     while (true) {
         for (instance_progress& row : rows) {
-            if (!row.has_all) {
-                ask(operator_key, revisions, row);
+            if (!row.has_all_revisions) {
+                query_status(operator_key, revisions, row);
             }
         }
         const bool is_done =
             std::all_of(rows.begin(), rows.end(),
-                        [](const auto& row) { return row.has_all; });
+                        [](const auto& row) { return row.has_all_revisions; });
         if (is_done || std::chrono::steady_clock::now() >= end) {
             return rows;
         }
-        std::this_thread::sleep_for(ask_interval);
+        std::this_thread::sleep_for(query_interval);
     }
 }
 
--- a/drivers/platform_kv/publish_wait.hpp
+++ b/drivers/platform_kv/publish_wait.hpp
@@ -9,24 +9,24 @@
 
 namespace savorydock {
 
-/// A revision that instances are to have in force.
+/// A revision that instances should have in force.
 struct awaited_revision {
     service_name service;
     store_revision revision = 0;
 };
 
-/// What an instance said last.
+/// The last known progress of an instance.
 struct instance_progress {
     endpoint address;
     std::string instance;
-    bool has_all = false;
-    /// What it lacks, or why it could not be asked.
+    bool has_all_revisions = false;
+    /// Which revision is missing, or why the query failed.
     std::string detail;
 };
 
-/// Asks instances over their operators' interface until all have the
-/// revisions (or later ones) in force, or the timeout has passed. Returns one
-/// row for each address. Blocks; thread safe.
+/// Polls instances over their operator interface until all have the revisions
+/// (or later ones) in force, or the timeout has passed. Returns one row per
+/// address. Blocks; thread safe.
 [[nodiscard]] std::vector<instance_progress>
 wait_for_revisions(const std::vector<endpoint>& instances,
                    const std::string& operator_key,
--- a/drivers/platform_kv/publisher.cpp
+++ b/drivers/platform_kv/publisher.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// The longest that one call to the platform may take.
+/// Timeout of one call to the platform.
 constexpr std::chrono::seconds call_timeout{5};
 constexpr std::size_t publish_id_octets = 16;
 
@@ -22,7 +22,7 @@
     return std::chrono::steady_clock::now();
 }
 
-// Unique among all publishes of all operators.
+// Returns an id that is unique among all publishes of all operators.
 std::string make_publish_id() {
     constexpr std::string_view digits = "0123456789abcdef";
     std::array<unsigned char, publish_id_octets> octets{};
@@ -99,30 +99,31 @@
     }
     std::vector<service_publish> results;
     for (const checked_file& file : *checked) {
-        results.push_back(run({.service = file.service,
-                               .publish_id = make_publish_id(),
-                               .operator_name = options_.operator_name,
-                               .text = file.text,
-                               .base = base}));
+        results.push_back(publish({.service = file.service,
+                                   .publish_id = make_publish_id(),
+                                   .operator_name = options_.operator_name,
+                                   .text = file.text,
+                                   .base = base}));
     }
     return results;
 }
 
 service_publish publisher::delete_service(const service_name& service) {
-    return run({.service = service,
-                .publish_id = make_publish_id(),
-                .operator_name = options_.operator_name,
-                .is_deleted = true});
+    return publish({.service = service,
+                    .publish_id = make_publish_id(),
+                    .operator_name = options_.operator_name,
+                    .is_deleted = true});
 }
 
-service_publish publisher::run(publish_plan plan) {
+service_publish publisher::publish(publish_plan plan) {
     const service_name service = plan.service;
     const steady_time deadline = current_time() + options_.timeout;
     publish_protocol protocol(std::move(plan), deadline, random_);
     publish_step step = protocol.begin();
     while (const auto* request = std::get_if<platform_request>(&step.next)) {
         std::this_thread::sleep_for(step.pause);
-        // A call begun shortly before the deadline still gets its time.
+        // A call that starts shortly before the deadline still gets its full
+        // timeout.
         const auto answer =
             store_.call(*request, current_time() + call_timeout);
         step = protocol.on_reply(answer, current_time());
--- a/drivers/platform_kv/publisher.hpp
+++ b/drivers/platform_kv/publisher.hpp
@@ -13,26 +13,26 @@
 
 namespace savorydock {
 
-/// A service file that was read and checked.
+/// A service file that was read and validated.
 struct checked_file {
     std::string file;
     service_name service;
     std::string text;
 };
 
-/// Reads and checks service files. Errors: `not_found`, `invalid_json`,
-/// `invalid_document`, with the faults of all files. Thread safe.
+/// Reads and validates service files. Errors: `not_found`, `invalid_json`,
+/// `invalid_document`; the detail lists the faults of all files. Thread safe.
 [[nodiscard]] outcome<std::vector<checked_file>>
 check_service_files(const std::vector<std::string>& files);
 
-/// What a file would change.
+/// The difference between a file and the service in the store.
 struct service_difference {
     std::string file;
     service_name service;
-    /// The revision in the store; 0 if the service is not there.
+    /// The revision in the store; 0 if the service doesn't exist there.
     store_revision revision = 0;
     std::string operator_name;
-    /// Lines "-" of the store and "+" of the file; empty if they are equal.
+    /// A line diff: "-" for the store, "+" for the file; empty if equal.
     std::string difference;
 };
 
@@ -43,9 +43,10 @@
 
 struct publisher_options {
     std::vector<endpoint> platform;
-    /// Who publishes, as others will be told.
+    /// The name of the publishing operator, as shown to other operators.
     std::string operator_name;
-    /// How long one publish may take until its result is told as it is.
+    /// How long one publish may take. After that, the result known so far is
+    /// returned.
     std::chrono::milliseconds timeout{30'000};
 };
 
@@ -55,23 +56,23 @@
     /// Precondition: there is at least one address of the platform.
     explicit publisher(publisher_options options);
 
-    /// Publishes each file; a result for one does not hinder the others. The
-    /// files are all checked before anything is written. Errors: as
-    /// `check_service_files`; nothing was written then.
+    /// Publishes each file, independently of the results of the others. All
+    /// files are validated before anything is written. Errors: as
+    /// `check_service_files`; then nothing was written.
     [[nodiscard]] outcome<std::vector<service_publish>>
     publish_files(const std::vector<std::string>& files,
                   std::optional<store_revision> base = {});
 
-    /// Takes a service out of force everywhere.
+    /// Deletes a service on all instances.
     [[nodiscard]] service_publish delete_service(const service_name& service);
 
-    /// Shows what `publish_files` would change. Errors: as
+    /// Returns what `publish_files` would change. Errors: as
     /// `check_service_files`, or `platform_unreachable`.
     [[nodiscard]] outcome<std::vector<service_difference>>
     diff_files(const std::vector<std::string>& files);
 
 private:
-    service_publish run(publish_plan plan);
+    service_publish publish(publish_plan plan);
     outcome<service_difference> diff(const checked_file& file);
 
     publisher_options options_;
--- a/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
+++ b/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
@@ -49,7 +49,8 @@
         return answer ? answer->revision : 0;
     }
 
-    // The platform goes last so that its thread outlives the client's calls.
+    // Declared first, so that it is destroyed last and its thread outlives the
+    // client's calls.
     fake_platform platform_;
     endpoint address_;
     traffic_pool pool_{1};
@@ -68,7 +69,8 @@
     EXPECT_GT(write("/a/1", "next", first), first);
 }
 
-TEST_F(etcd_gateway_client_test, swap_on_an_old_revision_tells_the_present) {
+TEST_F(etcd_gateway_client_test,
+       swap_on_an_old_revision_returns_the_current_value) {
     const store_revision first = write("/a/1", "one");
     const store_revision second = write("/a/1", "two", first);
     for (const store_revision expected : {store_revision{0}, first}) {
@@ -117,14 +119,14 @@
     EXPECT_TRUE(call(read_range{.key = "/a"}));
 }
 
-TEST_F(etcd_gateway_client_test, dead_address_is_passed_over) {
+TEST_F(etcd_gateway_client_test, unreachable_address_is_skipped) {
     const endpoint dead{.address = "127.0.0.1", .port = 1};
     client_ = std::make_unique<etcd_gateway_client>(
         pool_.context(0), std::vector<endpoint>{dead, address_});
     EXPECT_TRUE(call(read_range{.key = "/a"}));
 }
 
-TEST_F(etcd_gateway_client_test, watch_tells_changes_of_its_prefix_only) {
+TEST_F(etcd_gateway_client_test, watch_returns_changes_of_its_prefix_only) {
     const store_revision start = write("/a/1", "one") + 1;
     auto watch = submit(watch_prefix{.prefix = "/a/", .start = start});
     write("/b/1", "other");
@@ -161,7 +163,7 @@
     EXPECT_EQ(answer.reason().code, result_code::platform_unreachable);
 }
 
-TEST_F(etcd_gateway_client_test, key_of_a_lease_goes_with_the_lease) {
+TEST_F(etcd_gateway_client_test, key_of_a_revoked_lease_is_deleted) {
     const auto granted = call(grant_lease{.time_to_live = 60s});
     ASSERT_TRUE(granted) << granted.reason().detail;
     EXPECT_EQ(granted->time_to_live, 60s);
@@ -182,7 +184,7 @@
     }
 }
 
-TEST_F(etcd_gateway_client_test, lease_that_runs_out_takes_its_key) {
+TEST_F(etcd_gateway_client_test, key_of_an_expired_lease_is_deleted) {
     const auto granted = call(grant_lease{.time_to_live = 1s});
     ASSERT_TRUE(granted);
     ASSERT_TRUE(call(compare_and_swap{
--- a/tests/drivers/platform_kv/publisher_test.cpp
+++ b/tests/drivers/platform_kv/publisher_test.cpp
@@ -69,7 +69,7 @@
                                          "+    \"queue_length\": 2}],\n");
 }
 
-TEST_F(publisher_test, one_faulty_file_keeps_all_from_being_written) {
+TEST_F(publisher_test, one_faulty_file_prevents_all_writes) {
     publisher made({.platform = {address_}, .operator_name = "ann"});
     const std::string bad = write_file("bad.json", "s2", -1);
     const auto results =
@@ -90,7 +90,8 @@
     EXPECT_EQ(platform_.calls("txn"), 1U);
 }
 
-TEST_F(publisher_test, racing_operators_one_wins_and_the_other_is_told) {
+TEST_F(publisher_test,
+       racing_operators_one_wins_and_the_other_gets_a_conflict) {
     ASSERT_EQ(publish("ann", write_file("a.json", "s", 1)).code,
               result_code::ok);
     // Both read before either writes.
