--- a/drivers/upstream_http/upstream_client.cpp
+++ b/drivers/upstream_http/upstream_client.cpp
@@ -92,12 +92,12 @@
     return upstream_evidence::answered;
 }
 
-std::chrono::microseconds since(steady_time start) {
+std::chrono::microseconds elapsed_since(steady_time start) {
     return std::chrono::duration_cast<std::chrono::microseconds>(
         std::chrono::steady_clock::now() - start);
 }
 
-failure refused_by_engine(unsigned status) {
+failure engine_failure(unsigned status) {
     return {classify_status(status, service_kind::model).code,
             "HTTP status " + std::to_string(status)};
 }
@@ -128,7 +128,7 @@
         is_idempotent ? connection_use::reuse : connection_use::fresh;
     auto answer = co_await client_.call(std::move(address), std::move(request),
                                         deadline, use);
-    evidence.first_byte = since(start);
+    evidence.first_byte = elapsed_since(start);
     evidence.evidence = answer ? evidence_of(answer->status, answer->headers)
                                : savorydock::evidence_of(answer.reason().code);
     co_return answer;
@@ -142,7 +142,7 @@
     http_request request = to_request(call);
     auto opened =
         co_await client_.open(std::move(address), std::move(request), deadline);
-    evidence.first_byte = since(start);
+    evidence.first_byte = elapsed_since(start);
     if (!opened) {
         evidence.evidence = savorydock::evidence_of(opened.reason().code);
         co_return opened.reason();
@@ -150,7 +150,7 @@
     http_stream& stream = **opened;
     evidence.evidence = evidence_of(stream.status(), stream.headers());
     if (stream.status() != status_ok) {
-        co_return refused_by_engine(stream.status());
+        co_return engine_failure(stream.status());
     }
     event_stream_reader reader;
     bool has_ended = false;
@@ -178,14 +178,14 @@
             }
             if (!co_await sink(*event)) {
                 co_return failure{result_code::cancelled_by_caller,
-                                  "the answer is not wanted any more"};
+                                  "the response is no longer needed"};
             }
         }
     }
     if (!has_ended) {
         evidence.evidence = upstream_evidence::connection_lost;
         co_return failure{result_code::failed_truncated,
-                          "the stream has no end mark"};
+                          "the stream ended without an end marker"};
     }
     co_return done{};
 }
--- a/drivers/upstream_http/upstream_client.hpp
+++ b/drivers/upstream_http/upstream_client.hpp
@@ -20,48 +20,49 @@
     attempt_number attempt = 0;
     std::string prompt;
     std::uint32_t max_tokens = 0;
-    /// Tells the samples of one prompt apart, so that the engine draws anew.
+    /// Differs between the samples of one prompt, so that the engine generates
+    /// a different output for each.
     std::uint32_t seed = 0;
-    /// Tokens that are there already, and their text: the engine goes on
-    /// behind them.
+    /// The number of tokens that were generated already, and their text; the
+    /// engine resumes after them.
     std::uint32_t resume_from = 0;
     std::string resume_text;
     std::int32_t priority = 0;
 };
 
-/// What traffic learnt of an upstream by one call.
+/// What one call showed about its upstream.
 struct call_evidence {
     upstream_evidence evidence = upstream_evidence::answered;
     std::chrono::microseconds first_byte{0};
 };
 
-/// Returns what the failure of a call says about its upstream. Thread safe.
+/// Returns what a call's failure shows about its upstream. Thread safe.
 [[nodiscard]] upstream_evidence evidence_of(result_code code);
 
-/// Calls to upstreams by HTTP. Belongs to one traffic thread.
+/// Makes HTTP calls to upstreams. Belongs to one traffic thread.
 class upstream_client {
 public:
-    /// Takes one event of a stream; false ends the call.
+    /// Handles one event of a stream; returning false cancels the call.
     using event_sink =
         std::function<boost::asio::awaitable<bool>(const stream_event&)>;
 
     explicit upstream_client(boost::asio::io_context& context)
         : client_(context) {}
 
-    /// Passes a plain call on. Calls that are not idempotent get a new
-    /// connection, so that a half-closed one can't leave them in doubt.
-    /// `evidence` is set in each case.
+    /// Forwards a plain call. Calls that are not idempotent use a new
+    /// connection: on a half-closed one, whether they ran would be unknown.
+    /// Always sets `evidence`.
     boost::asio::awaitable<outcome<http_response>>
     call(endpoint address, http_request request, steady_time deadline,
          bool is_idempotent, call_evidence& evidence);
 
-    /// Runs a prompt. Succeeds when the stream ended in order; whether the
-    /// answer is whole is the assembler's to say.
+    /// Runs a prompt. Succeeds if the stream ended in order; the assembler
+    /// decides whether the answer is complete.
     boost::asio::awaitable<outcome<done>>
     generate(endpoint address, generation_call call, steady_time deadline,
              event_sink sink, call_evidence& evidence);
 
-    /// Tells an engine to end a stream; what comes of it does not matter.
+    /// Asks an engine to end a stream and ignores the result.
     boost::asio::awaitable<void> cancel(endpoint address, std::string stream,
                                         steady_time deadline);
 
