--- a/tests/drivers/store/store_test.cpp
+++ b/tests/drivers/store/store_test.cpp
@@ -250,7 +250,7 @@
 // The store may lose a watch silently, and a configuration must still take
 // effect within 2 s. Without the bound on a watch, a new route was answered
 // with 404 for 3.4 s after its acknowledgement.
-TEST_F(store_test, change_after_a_lost_watch_is_read_within_its_bound) {
+TEST_F(store_test, change_behind_a_lost_watch_is_read_within_its_bound) {
     recording_listener listener;
     fake.put("p/a", "1");
     fake.set_losing_watches(true);
