--- a/drivers/caf_runtime/control_mailbox.cpp
+++ b/drivers/caf_runtime/control_mailbox.cpp
@@ -25,10 +25,10 @@
 namespace savorydock {
 
 struct control_mailbox::state {
-    /// The actor has a thread of its own, so CAF's scheduler has nothing to
-    /// do and must not look for work all the time.
-    struct quiet_config : caf::actor_system_config {
-        quiet_config() {
+    /// The only actor is detached and has its own thread, so CAF's scheduler
+    /// has no work; these settings keep it from polling constantly.
+    struct idle_scheduler_config : caf::actor_system_config {
+        idle_scheduler_config() {
             set("scheduler.max-threads", std::size_t{1});
             set("work-stealing.aggressive-poll-attempts", std::size_t{0});
             set("work-stealing.moderate-poll-attempts", std::size_t{0});
@@ -37,7 +37,7 @@
         }
     };
 
-    quiet_config config;
+    idle_scheduler_config config;
     caf::actor_system system{config};
     caf::actor actor;
     std::atomic<bool> is_running{true};
--- a/drivers/caf_runtime/control_mailbox.hpp
+++ b/drivers/caf_runtime/control_mailbox.hpp
@@ -6,8 +6,8 @@
 namespace savorydock {
 
 /// The control thread of an instance: one detached CAF actor that runs tasks
-/// one at a time, in the order of their posting. It sleeps while there are
-/// none.
+/// one at a time, in the order in which they were posted. It sleeps while no
+/// task is queued.
 class control_mailbox {
 public:
     using task = std::function<void()>;
@@ -22,7 +22,8 @@
     /// posted after `stop` are dropped.
     void post(task work);
 
-    /// Ends the thread after the tasks posted so far. Idempotent.
+    /// Stops the thread after the tasks posted so far have run; blocks until
+    /// then. Idempotent.
     void stop();
 
 private:
--- a/drivers/caf_runtime/control_runtime.cpp
+++ b/drivers/caf_runtime/control_runtime.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// An event is delivered by running it on the control thread. The index is
-/// that of the server whose commands it may cause.
+/// An event for the control thread; `run` delivers it to a server and collects
+/// the commands that the server issues.
 struct control_event {
     std::function<void(steady_time, command_list&)> run;
-    /// The server that gets the replies to the commands.
+    /// The server that receives the replies to those commands; may be null.
     control_server* server = nullptr;
 };
 
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Gives one event to every server, each with its own commands.
+    /// Sends one event to every server; commands are collected separately for
+    /// each server.
     template <class Call>
     void broadcast(Call call) {
         for (control_server* const server : servers) {
@@ -101,8 +102,8 @@
     }
 
     void carry_out_one(control_server* server, upstream_order& order) {
-        executor.give_order(std::move(order), [this,
-                                               server](order_reply reply) {
+        executor.execute_order(std::move(order), [this,
+                                                  server](order_reply reply) {
             answer(server, std::move(reply), &control_server::on_order_reply);
         });
     }
@@ -129,13 +130,15 @@
     std::function<void(steady_time, command_list&)> after_tick;
     std::atomic<bool> is_running{false};
     std::atomic<std::uint64_t> handled{0};
-    /// The one actor has a thread of its own, so CAF's scheduler has nothing
-    /// to do and must not look for work all the time.
-    struct quiet_config : caf::actor_system_config {
-        quiet_config() { set("scheduler.max-threads", std::size_t{1}); }
+    /// The only actor is detached and has its own thread, so CAF's scheduler
+    /// has no work; a single thread keeps the cost of its polling low.
+    struct idle_scheduler_config : caf::actor_system_config {
+        idle_scheduler_config() {
+            set("scheduler.max-threads", std::size_t{1});
+        }
     };
 
-    quiet_config config;
+    idle_scheduler_config config;
     caf::actor_system system;
     caf::actor actor;
 };
--- a/drivers/caf_runtime/control_runtime.hpp
+++ b/drivers/caf_runtime/control_runtime.hpp
@@ -16,8 +16,9 @@
     std::chrono::milliseconds tick{100};
 };
 
-/// The control thread: one detached CAF actor that owns all control servers,
-/// hands them events one at a time and has their commands carried out.
+/// The control thread: one detached CAF actor that runs all control servers,
+/// delivers events to them one at a time and passes their commands to the
+/// executor.
 ///
 /// `post_*` and `post` are thread safe and never block. The executor and the
 /// logger must outlive the runtime.
@@ -33,14 +34,15 @@
     /// runtime.
     void add(control_server& server);
 
-    /// Sets what runs on the control thread after each tick of all servers.
+    /// Sets a task that runs on the control thread after each tick of all
+    /// servers.
     /// Precondition: not started.
     void set_after_tick(std::function<void(steady_time, command_list&)> task);
 
     /// Starts the control thread.
     void start();
 
-    /// Ends the control thread; events posted after that are dropped.
+    /// Stops the control thread; events posted after that are dropped.
     /// Idempotent.
     void stop();
 
@@ -48,14 +50,15 @@
     void post_observation(upstream_observation observation);
     void post_configuration(std::shared_ptr<const configuration_view> view);
 
-    /// Runs a task on the control thread, between two events.
+    /// Runs a task on the control thread, between two events. Replies to the
+    /// commands that it issues are dropped.
     void post(std::function<void(steady_time, command_list&)> task);
 
-    /// As `post`; replies to the task's commands go to the server.
+    /// Like `post`, but replies to the task's commands go to `server`.
     void post_for(control_server& server,
                   std::function<void(steady_time, command_list&)> task);
 
-    /// Events handled so far. Thread safe.
+    /// Returns the number of events and ticks handled so far. Thread safe.
     [[nodiscard]] std::uint64_t handled_events() const;
 
 private:
--- a/drivers/caf_runtime/pending_answer.hpp
+++ b/drivers/caf_runtime/pending_answer.hpp
@@ -15,9 +15,9 @@
 
 namespace savorydock {
 
-/// Lets a coroutine wait for an answer that a callback brings from the
-/// control thread. `handler` may be called on any thread; `wait` belongs to
-/// the executor's thread.
+/// Lets a coroutine wait for an answer that the control thread delivers through
+/// a callback. `handler` and its callback may be called on any thread; `wait`
+/// must run on the executor's thread.
 template <class Answer>
 class pending_answer
     : public std::enable_shared_from_this<pending_answer<Answer>> {
@@ -25,7 +25,8 @@
     explicit pending_answer(boost::asio::any_io_executor executor)
         : timer_(std::move(executor)) {}
 
-    /// The callback to hand to the control thread.
+    /// Returns the callback that delivers the answer. It keeps this object
+    /// alive.
     std::function<void(Answer)> handler() {
         return [self = this->shared_from_this()](Answer answer) {
             boost::asio::post(self->timer_.get_executor(),
--- a/drivers/caller_http/admission_gate.cpp
+++ b/drivers/caller_http/admission_gate.cpp
@@ -28,7 +28,8 @@
     return *this;
 }
 
-/// A request that waits. Its state is touched on its context's thread only.
+/// A queued request. Its state is accessed only on the thread of the request's
+/// I/O context.
 struct admission_gate::waiter {
     explicit waiter(asio::io_context& context)
         : timer(context) {}
--- a/drivers/caller_http/admission_gate.hpp
+++ b/drivers/caller_http/admission_gate.hpp
@@ -16,7 +16,7 @@
 
 namespace savorydock {
 
-/// The right of one request to run; gives it back when it is destroyed.
+/// Permission for one request to run; the destructor returns it to the queue.
 /// Movable; not thread safe.
 class admission_pass {
 public:
@@ -33,25 +33,27 @@
     std::function<void()> release_;
 };
 
-/// Has requests wait for their turn, service by service. Thread safe.
+/// Queues the requests of each service until the admission queue grants them.
+/// Thread safe.
 class admission_gate {
 public:
     explicit admission_gate(const upstream_router& router)
         : router_(router) {}
 
     /// Waits until the request may run. Errors: `not_run_overloaded`,
-    /// `not_run_deadline`. Runs on the context's thread.
+    /// `not_run_deadline`. Must run on the thread of `context`.
     boost::asio::awaitable<outcome<admission_pass>>
     enter(const caller_request& request, std::uint32_t cost,
           boost::asio::io_context& context);
 
-    /// Adapts capacities and ends waits that are over. Call it several times
-    /// a second.
+    /// Updates the capacities from the current load and wakes requests that
+    /// were granted or have expired. Call it several times per second.
     void on_tick(steady_time now);
 
 private:
     struct waiter;
-    /// The queue of one revision of one service.
+    /// The admission queue of one service; a new revision of the service gets
+    /// a new one.
     struct service_gate {
         service_gate(store_revision used_revision, admission_queue queue)
             : revision(used_revision)
--- a/drivers/caller_http/answer_json.hpp
+++ b/drivers/caller_http/answer_json.hpp
@@ -11,13 +11,13 @@
 
 namespace savorydock {
 
-/// {"code", "name", "detail"}. Thread safe.
+/// Returns {"code", "name", "detail"}. Thread safe.
 [[nodiscard]] boost::json::object to_json(const failure& reason);
 
-/// [{"first", "last", "version"}]. Thread safe.
+/// Returns [{"first", "last", "version"}]. Thread safe.
 [[nodiscard]] boost::json::array to_json(std::span<const version_range> ranges);
 
-/// One server-sent event that carries the object. Thread safe.
+/// Encodes the object as one server-sent event. Thread safe.
 [[nodiscard]] std::string to_server_sent_event(const boost::json::object& body);
 
 } // namespace savorydock
--- a/drivers/caller_http/caller_api.cpp
+++ b/drivers/caller_http/caller_api.cpp
@@ -21,11 +21,12 @@
 struct api_target {
     api_call call = api_call::none;
     service_name service;
-    /// The path and query that a plain service gets.
+    /// The path and query that are forwarded to a plain service.
     std::string path;
 };
 
-/// The service that a completion or a step names in its body.
+/// Returns the service named by "model" in the body of a completion or step;
+/// empty if there is none.
 service_name model_of(const std::string& body) {
     const auto parsed = parse_commented_json(body);
     if (!parsed || !parsed->is_object()) {
@@ -60,7 +61,7 @@
             .path = std::string(rest.substr(slash))};
 }
 
-/// Each kind of service has calls of its own.
+/// Checks that the kind of call matches the kind of service.
 outcome<done> check_kind(const api_target& target,
                          const caller_request& request) {
     const bool wants_model = target.call != api_call::plain;
@@ -77,8 +78,8 @@
 
 asio::awaitable<void> refuse(http_exchange& exchange, const request_id& id,
                              failure reason, traffic_services& services) {
-    reason = keep_honest(exchange.request(), std::move(reason));
-    note_end(services, id, reason);
+    reason = adjust_refusal_code(exchange.request(), std::move(reason));
+    record_end(services, id, reason);
     http_response answer = make_failure_answer(id, reason, services.instance);
     co_await exchange.respond(std::move(answer));
 }
--- a/drivers/caller_http/caller_api.hpp
+++ b/drivers/caller_http/caller_api.hpp
@@ -5,11 +5,11 @@
 
 namespace savorydock {
 
-/// The callers' interface:
+/// The HTTP interface for callers:
 ///
 ///   POST /v1/completions             one completion of a model service
-///   POST /v1/steps                   a trainer's step of samples
-///   ANY  /v1/services/NAME/PATH      a call of a plain service
+///   POST /v1/steps                   the samples of a trainer's step
+///   ANY  /v1/services/NAME/PATH      a call to a plain service
 ///
 /// Returns a handler for an http_server. `services` must outlive it.
 [[nodiscard]] http_handler make_caller_api(traffic_services& services);
--- a/drivers/caller_http/caller_request.cpp
+++ b/drivers/caller_http/caller_request.cpp
@@ -14,7 +14,8 @@
 constexpr std::size_t max_id_bytes = 128;
 constexpr std::string_view bearer = "Bearer ";
 
-/// Ids end up in logs and paths, hence few characters are allowed.
+/// Ids are written to logs and URL paths, so only a few characters are
+/// allowed.
 bool is_valid_id(std::string_view text) {
     return !text.empty() && text.size() <= max_id_bytes &&
            std::all_of(text.begin(), text.end(), [](unsigned char c) {
@@ -41,7 +42,7 @@
     return number;
 }
 
-std::string_view key_of(const http_request& request) {
+std::string_view bearer_key(const http_request& request) {
     std::string_view text = request.header("Authorization");
     if (!text.starts_with(bearer)) {
         return {};
@@ -111,7 +112,7 @@
                        "no service " + service.text()};
     }
     const service_document& document = *result.service->document;
-    result.caller = document.caller_of_key(key_of(request));
+    result.caller = document.caller_of_key(bearer_key(request));
     if (result.caller == nullptr) {
         return failure{result_code::not_run_unauthorized,
                        "the key is missing or is not one of the service's"};
@@ -133,8 +134,8 @@
     return result;
 }
 
-void note_end(traffic_services& services, const caller_request& request,
-              const failure& reason) {
+void record_end(traffic_services& services, const caller_request& request,
+                const failure& reason) {
     services.metrics.observe(
         {.service = request.service->document->service,
          .class_of_service = request.service_class->name,
@@ -142,10 +143,10 @@
                      ? "refused_seconds"
                      : "request_seconds"},
         std::chrono::steady_clock::now() - request.began);
-    note_end(services, request.id, reason);
+    record_end(services, request.id, reason);
 }
 
-failure keep_honest(const http_request& request, failure reason) {
+failure adjust_refusal_code(const http_request& request, failure reason) {
     const bool is_keyed =
         !request.header(caller_header::idempotency_key).empty();
     const auto attempt = read_number<call_attempt>(
@@ -184,8 +185,8 @@
     return answer;
 }
 
-void note_end(traffic_services& services, const request_id& id,
-              const failure& reason) {
+void record_end(traffic_services& services, const request_id& id,
+                const failure& reason) {
     const result_class ended_as = classify(reason.code);
     const bool is_refused = ended_as == result_class::not_run;
     services.decisions.add(
--- a/drivers/caller_http/caller_request.hpp
+++ b/drivers/caller_http/caller_request.hpp
@@ -11,7 +11,7 @@
 
 namespace savorydock {
 
-/// The header names of the caller's interface beyond plain HTTP.
+/// Names of the headers that the interface for callers adds to plain HTTP.
 namespace caller_header {
 inline constexpr std::string_view request_id = "Savorydock-Request-Id";
 inline constexpr std::string_view result = "Savorydock-Result";
@@ -22,10 +22,11 @@
 inline constexpr std::string_view idempotency_key = "Idempotency-Key";
 } // namespace caller_header
 
-/// A request that was read, authorized and given its deadline.
+/// A request whose caller is authorized, whose headers are parsed and whose
+/// deadline is set.
 struct caller_request {
     request_id id;
-    /// Keeps the service's document alive through the request.
+    /// Keeps the service's document alive for the duration of the request.
     std::shared_ptr<const configuration_view> view;
     const service_in_force* service = nullptr;
     const caller_rule* caller = nullptr;
@@ -34,41 +35,45 @@
     steady_time deadline{};
     idempotency_key key;
     call_attempt attempt = 0;
-    /// The instance that the last sending reached, if the caller says so.
+    /// The instance that the previous attempt was sent to, if the caller names
+    /// it; otherwise empty.
     instance_id last_instance;
 };
 
-/// The id that the caller gave its request, or a new one. Thread safe.
+/// Returns the request id from the caller's header, or a new one if it is
+/// missing or invalid. Thread safe.
 [[nodiscard]] request_id id_of(const http_request& request,
                                traffic_services& services);
 
 /// Authorizes a request for a service and reads its headers. Errors:
-/// `not_run_*`, all before anything ran. Thread safe.
+/// `not_run_*`; no part of the request has been executed then. Thread safe.
 [[nodiscard]] outcome<caller_request> admit_request(const http_request& request,
                                                     request_id id,
                                                     const service_name& service,
                                                     traffic_services& services);
 
-/// The answer that tells a caller why its request has no other answer.
+/// Builds the response that reports why a request failed or was refused.
 [[nodiscard]] http_response make_failure_answer(const request_id& id,
                                                 const failure& reason,
                                                 const instance_id& instance);
 
-/// The headers that every answer carries.
+/// Builds the headers that every response carries.
 [[nodiscard]] http_headers make_answer_headers(const request_id& id,
                                                result_code code,
                                                const instance_id& instance);
 
-/// Notes the end of a request in the decision log and the log.
-void note_end(traffic_services& services, const request_id& id,
-              const failure& reason);
+/// Records the end of a request in the decision log and the log.
+void record_end(traffic_services& services, const request_id& id,
+                const failure& reason);
 
-/// Notes the end of an admitted request, in the histograms too.
-void note_end(traffic_services& services, const caller_request& request,
-              const failure& reason);
+/// Records the end of an admitted request, also in the latency histograms.
+void record_end(traffic_services& services, const caller_request& request,
+                const failure& reason);
 
-/// A refusal of a repeated sending, decided before its key was looked up, must
-/// not be read as "not run" of the key. Thread safe.
-[[nodiscard]] failure keep_honest(const http_request& request, failure reason);
+/// Replaces the code of a refusal that was decided before the idempotency key
+/// was looked up: an earlier attempt with the key may have run, so the caller
+/// must not take "not run" as the outcome of the key. Thread safe.
+[[nodiscard]] failure adjust_refusal_code(const http_request& request,
+                                          failure reason);
 
 } // namespace savorydock
--- a/drivers/caller_http/generation_run.cpp
+++ b/drivers/caller_http/generation_run.cpp
@@ -15,22 +15,22 @@
 
 constexpr std::size_t hashed_prefix_bytes = 256;
 
-generation_call make_call(const generation_order& order,
+generation_call make_call(const generation_task& task,
                           const caller_request& request,
                           const answer_assembler& answer) {
     return {
-        .stream = order.stream,
+        .stream = task.stream,
         .attempt = answer.attempt(),
-        .prompt = order.prompt,
-        .max_tokens = order.max_tokens,
-        .seed = order.seed,
+        .prompt = task.prompt,
+        .max_tokens = task.max_tokens,
+        .seed = task.seed,
         .resume_from = answer.next_token(),
         .resume_text = answer.text(),
         .priority = request.service_class->priority,
     };
 }
 
-failure judge(const answer_assembler& answer, const failure& ended) {
+failure evaluate_answer(const answer_assembler& answer, const failure& ended) {
     switch (answer.verdict()) {
     case answer_verdict::complete:
         return {};
@@ -49,39 +49,40 @@
                : ended;
 }
 
-/// One attempt on one upstream.
+/// Runs one attempt on one upstream.
 asio::awaitable<failure>
-run_once(const generation_order& order, const caller_request& request,
-         endpoint address, std::size_t worker, answer_assembler& answer,
-         traffic_services& services, call_evidence& seen) {
+run_attempt(const generation_task& task, const caller_request& request,
+            endpoint address, std::size_t worker, answer_assembler& answer,
+            traffic_services& services, call_evidence& seen) {
     auto sink = [&](const stream_event& event) -> asio::awaitable<bool> {
         if (!answer.accept(event)) {
             co_return answer.verdict() == answer_verdict::open;
         }
-        co_return co_await order.sink(event);
+        co_return co_await task.sink(event);
     };
     upstream_client& client = *services.clients[worker];
     upstream_client::event_sink event_sink = sink;
-    generation_call call = make_call(order, request, answer);
+    generation_call call = make_call(task, request, answer);
     const auto result =
         co_await client.generate(std::move(address), std::move(call),
                                  request.deadline, std::move(event_sink), seen);
     answer.end_stream();
-    co_return judge(answer, result.reason());
+    co_return evaluate_answer(answer, result.reason());
 }
 
-/// "Not run" is said only if no run of the request can have begun.
-failure keep_honest(const failure& reason, const failure& begun) {
-    const bool is_lie = classify(reason.code) == result_class::not_run &&
-                        begun.code != result_code::ok;
-    return is_lie
+/// Reports "not run" only if no earlier attempt can have begun on an upstream.
+failure reconcile_failures(const failure& reason, const failure& begun) {
+    const bool is_contradicted =
+        classify(reason.code) == result_class::not_run &&
+        begun.code != result_code::ok;
+    return is_contradicted
                ? failure{begun.code, begun.detail + "; then " + reason.detail}
                : reason;
 }
 
-void fire(const generation_order& order, std::string_view event) {
-    if (order.life != nullptr) {
-        order.life->fire(event);
+void fire(const generation_task& task, std::string_view event) {
+    if (task.lifecycle != nullptr) {
+        task.lifecycle->fire(event);
     }
 }
 
@@ -92,11 +93,11 @@
            reason.code == result_code::not_run_deadline;
 }
 
-void note_resume(const generation_order& order, const caller_request& request,
-                 const failure& reason, std::uint32_t next_token,
-                 traffic_services& services) {
+void record_resume(const generation_task& task, const caller_request& request,
+                   const failure& reason, std::uint32_t next_token,
+                   traffic_services& services) {
     const std::string detail =
-        "stream=" + order.stream + " from_token=" + std::to_string(next_token);
+        "stream=" + task.stream + " from_token=" + std::to_string(next_token);
     services.decisions.add(
         request.id.text(),
         {.kind = decision_kind::resumed, .code = reason.code, .detail = detail},
@@ -113,7 +114,7 @@
         prompt.begin(), prompt.begin() + static_cast<std::ptrdiff_t>(length));
 }
 
-asio::awaitable<outcome<done>> run_generation(const generation_order& order,
+asio::awaitable<outcome<done>> run_generation(const generation_task& task,
                                               const caller_request& request,
                                               std::size_t worker,
                                               answer_assembler& answer,
@@ -121,72 +122,72 @@
     const auto pass =
         co_await services.gate.enter(request, 1, services.contexts.at(worker));
     if (!pass) {
-        fire(order, "refuse");
+        fire(task, "refuse");
         co_return pass.reason();
     }
     const service_document& document = *request.service->document;
-    suspect_guard guard(services, request, order.prompt, worker);
+    suspect_guard guard(services, request, task.prompt, worker);
     std::vector<upstream_id> excluded = guard.excluded();
-    excluded.insert(excluded.end(), order.excluded.begin(),
-                    order.excluded.end());
+    excluded.insert(excluded.end(), task.excluded.begin(), task.excluded.end());
     upstream_attempt attempt(services, request, std::move(excluded));
     const auto budget =
         services.budgets.of(document.service, document.retries.budget);
     budget->earn();
     failure last{result_code::not_run_no_upstream, "nobody was tried"};
-    // How the last run ended that an upstream may have begun.
+    // The result of the last attempt that an upstream may have begun to run.
     failure begun;
     while (attempt.count() < document.retries.max_attempts) {
         const auto choice =
-            attempt.begin(order.prefix_hash, order.expected_tokens);
+            attempt.begin(task.prefix_hash, task.expected_tokens);
         if (!choice) {
-            const failure reason = keep_honest(
+            const failure reason = reconcile_failures(
                 attempt.count() == 0 ? choice.reason() : last, begun);
-            fire(order, end_event_of(classify(reason.code)));
+            fire(task, end_event_of(classify(reason.code)));
             co_return reason;
         }
-        fire(order, "pick_upstream");
+        fire(task, "pick_upstream");
         const auto entered = co_await guard.enter(choice->upstream->name);
         if (!entered) {
             attempt.finish({}, true);
-            const failure reason = keep_honest(entered.reason(), begun);
-            fire(order, end_event_of(classify(reason.code)));
+            const failure reason = reconcile_failures(entered.reason(), begun);
+            fire(task, end_event_of(classify(reason.code)));
             co_return reason;
         }
-        if (order.on_upstream) {
-            order.on_upstream(choice->upstream->name);
+        if (task.on_upstream) {
+            task.on_upstream(choice->upstream->name);
         }
         call_evidence seen;
         const endpoint address = choice->upstream->address;
-        last = co_await run_once(order, request, address, worker, answer,
-                                 services, seen);
+        last = co_await run_attempt(task, request, address, worker, answer,
+                                    services, seen);
         guard.leave(last.code);
         attempt.finish(seen, false);
         if (classify(last.code) != result_class::not_run) {
-            fire(order, "hand_bytes");
+            fire(task, "hand_bytes");
             begun = last;
         }
         if (last.code == result_code::ok) {
-            fire(order, "receive");
-            fire(order, "finish");
+            fire(task, "receive");
+            fire(task, "finish");
             co_return done{};
         }
         const bool is_moved = last.code == result_code::cancelled_by_caller &&
-                              order.must_move && order.must_move();
-        // Moves are bounded by the schedule, not by the retry budget.
+                              task.must_move && task.must_move();
+        // The step schedule limits moves to another upstream, so they don't
+        // use the retry budget.
         if (!is_moved && (is_final(last) || !budget->try_spend())) {
             break;
         }
-        const attempt_number next = order.next_attempt();
+        const attempt_number next = task.next_attempt();
         if (next == 0 || !answer.resume(next)) {
             break;
         }
-        fire(order,
+        fire(task,
              classify(last.code) == result_class::not_run ? "retry" : "resume");
-        note_resume(order, request, last, answer.next_token(), services);
+        record_resume(task, request, last, answer.next_token(), services);
     }
-    const failure reason = keep_honest(last, begun);
-    fire(order, end_event_of(classify(reason.code)));
+    const failure reason = reconcile_failures(last, begun);
+    fire(task, end_event_of(classify(reason.code)));
     co_return reason;
 }
 
--- a/drivers/caller_http/model_call.cpp
+++ b/drivers/caller_http/model_call.cpp
@@ -44,7 +44,7 @@
     return body;
 }
 
-/// Writes the parts of one answer to the caller's stream.
+/// Streams one answer to the caller as server-sent events.
 class completion_writer {
 public:
     completion_writer(http_exchange& exchange, const caller_request& request,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The stream has begun and can't become whole: the caller is told by an
-    /// error event and by the missing end.
+    /// Reports that the answer can't be completed although the stream has
+    /// begun: sends an error event and leaves out the final "[DONE]" event.
     asio::awaitable<void> abort(const failure& reason) {
         json::object body{{"error", to_json(reason)},
                           {"id", request_.id.text()}};
@@ -127,7 +127,7 @@
                                        traffic_services& services) {
     const auto body = read_body(exchange.request().body);
     if (!body) {
-        note_end(services, request, body.reason());
+        record_end(services, request, body.reason());
         http_response refusal =
             make_failure_answer(request.id, body.reason(), services.instance);
         co_await exchange.respond(std::move(refusal));
@@ -143,21 +143,22 @@
         }
         co_return !exchange.is_caller_gone();
     };
-    request_life life(services.request_chart, services.chart_violations);
-    life.fire("enqueue");
-    generation_order order{
+    request_lifecycle lifecycle(services.request_chart,
+                                services.chart_violations);
+    lifecycle.fire("enqueue");
+    generation_task task{
         .stream = request.id.text(),
         .prompt = body->prompt,
         .max_tokens = body->max_tokens,
         .prefix_hash = hash_prefix(body->prompt),
         .expected_tokens = body->max_tokens,
-        .life = &life,
+        .lifecycle = &lifecycle,
         .next_attempt = [&attempt] { return ++attempt; },
         .sink = sink,
     };
     const auto result = co_await run_generation(
-        order, request, exchange.worker(), answer, services);
-    note_end(services, request, result.reason());
+        task, request, exchange.worker(), answer, services);
+    record_end(services, request, result.reason());
     if (result && is_stream) {
         co_await writer.finish(summarize(request, answer, false));
     } else if (result) {
--- a/drivers/caller_http/model_call.hpp
+++ b/drivers/caller_http/model_call.hpp
@@ -4,8 +4,9 @@
 
 namespace savorydock {
 
-/// Serves one completion, as a stream or as one answer, with the weight
-/// versions by token range at its end. Answers the exchange.
+/// Serves one completion, streamed or as a single response. The end of the
+/// answer lists which weight version generated which range of tokens. Sends
+/// the response through the exchange.
 boost::asio::awaitable<void> serve_model_call(http_exchange& exchange,
                                               caller_request request,
                                               traffic_services& services);
--- a/drivers/caller_http/plain_call.cpp
+++ b/drivers/caller_http/plain_call.cpp
@@ -2,7 +2,7 @@
 
 #include "drivers/caf_runtime/pending_answer.hpp"
 #include "drivers/caller_http/admission_gate.hpp"
-#include "drivers/caller_http/request_life.hpp"
+#include "drivers/caller_http/request_lifecycle.hpp"
 #include "drivers/caller_http/suspect_guard.hpp"
 #include "drivers/caller_http/upstream_attempt.hpp"
 
@@ -15,11 +15,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds right_margin{1'000};
+constexpr std::chrono::milliseconds run_right_margin{1'000};
 
-/// Headers of the caller that its plain service gets to see.
-http_request to_upstream(const http_request& source, const std::string& path,
-                         const caller_request& request) {
+/// Builds the request to the upstream. Of the caller's headers, only those in
+/// `passed` are forwarded.
+http_request make_upstream_request(const http_request& source,
+                                   const std::string& path,
+                                   const caller_request& request) {
     http_request target{
         .method = source.method, .target = path, .body = source.body};
     constexpr std::array<std::string_view, 3> passed{
@@ -35,7 +37,7 @@
     return target;
 }
 
-/// How the connection failed, from the client's code.
+/// Derives how the connection failed from the result code of the client.
 connection_fault fault_of(result_code code) {
     switch (code) {
     case result_code::not_run_no_upstream:
@@ -51,12 +53,12 @@
     }
 }
 
-run_classification rule_on(const outcome<http_response>& answer) {
+run_classification classify_answer(const outcome<http_response>& answer) {
     return answer ? classify_status(answer->status, service_kind::plain)
                   : classify_fault(fault_of(answer.reason().code));
 }
 
-std::string describe_end(const outcome<http_response>& answer) {
+std::string describe_answer(const outcome<http_response>& answer) {
     return answer ? "HTTP status " + std::to_string(answer->status)
                   : answer.reason().detail;
 }
@@ -70,27 +72,29 @@
     };
 }
 
-/// One run on one upstream under the guard.
+/// Sends the request to one upstream.
 asio::awaitable<outcome<http_response>>
 call_upstream(http_exchange& exchange, const caller_request& request,
               std::string path, bool is_idempotent, endpoint address,
               call_evidence& seen, traffic_services& services) {
-    http_request message = to_upstream(exchange.request(), path, request);
+    http_request message =
+        make_upstream_request(exchange.request(), path, request);
     upstream_client& client = *services.clients[exchange.worker()];
     co_return co_await client.call(std::move(address), std::move(message),
                                    request.deadline, is_idempotent, seen);
 }
 
-/// One request over as many upstreams as the rules allow. An upstream's own
-/// refusal is an answer; its code tells that it is one.
+/// Runs one request, trying as many upstreams as the retry rules allow. An
+/// error response from an upstream counts as an answer; its code marks it as
+/// an error.
 asio::awaitable<outcome<recorded_answer>>
 run_call(http_exchange& exchange, const caller_request& request,
-         std::string path, bool is_idempotent, request_life& life,
+         std::string path, bool is_idempotent, request_lifecycle& lifecycle,
          traffic_services& services) {
     const auto pass = co_await services.gate.enter(
         request, 1, services.contexts.at(exchange.worker()));
     if (!pass) {
-        life.fire("refuse");
+        lifecycle.fire("refuse");
         co_return pass.reason();
     }
     const service_document& document = *request.service->document;
@@ -107,47 +111,47 @@
         const auto choice = attempt.begin(0, 0);
         if (!choice) {
             const result_code code = retries.final_code(choice.reason().code);
-            life.fire(end_event_of(classify(code)));
+            lifecycle.fire(end_event_of(classify(code)));
             co_return failure{code, choice.reason().detail};
         }
-        life.fire("pick_upstream");
+        lifecycle.fire("pick_upstream");
         const auto entered = co_await guard.enter(choice->upstream->name);
         if (!entered) {
             attempt.finish({}, true);
             const result_code code = retries.final_code(entered.reason().code);
-            life.fire(end_event_of(classify(code)));
+            lifecycle.fire(end_event_of(classify(code)));
             co_return failure{code, entered.reason().detail};
         }
         call_evidence seen;
         const auto answer =
             co_await call_upstream(exchange, request, path, is_idempotent,
                                    choice->upstream->address, seen, services);
-        const run_classification ruling = rule_on(answer);
+        const run_classification classification = classify_answer(answer);
         guard.leave(answer ? result_code::ok : answer.reason().code);
         attempt.finish(seen, false);
         const bool is_sent =
             answer || classify(answer.reason().code) != result_class::not_run;
         if (is_sent) {
-            life.fire("hand_bytes");
+            lifecycle.fire("hand_bytes");
         }
-        if (ruling.code == result_code::ok) {
-            life.fire("receive");
-            life.fire("finish");
+        if (classification.code == result_code::ok) {
+            lifecycle.fire("receive");
+            lifecycle.fire("finish");
             co_return to_record(*answer, result_code::ok);
         }
-        const retry_decision decision =
-            retries.decide(ruling, *budget, std::chrono::steady_clock::now());
+        const retry_decision decision = retries.decide(
+            classification, *budget, std::chrono::steady_clock::now());
         if (decision.is_retry) {
-            life.fire("retry");
+            lifecycle.fire("retry");
             continue;
         }
-        if (answer && ruling.execution == execution_state::answered) {
-            life.fire("receive");
-            life.fire("finish");
+        if (answer && classification.execution == execution_state::answered) {
+            lifecycle.fire("receive");
+            lifecycle.fire("finish");
             co_return to_record(*answer, decision.code);
         }
-        life.fire(end_event_of(classify(decision.code)));
-        co_return failure{decision.code, describe_end(answer)};
+        lifecycle.fire(end_event_of(classify(decision.code)));
+        co_return failure{decision.code, describe_answer(answer)};
     }
 }
 
@@ -164,8 +168,9 @@
     return answer;
 }
 
-/// What a decision of the ledger other than `run` and `ask` tells.
-outcome<recorded_answer> answer_of(const key_decision& decision) {
+/// Returns the result for a ledger decision other than `run` and
+/// `acquire_right`.
+outcome<recorded_answer> answer_from(const key_decision& decision) {
     if (decision.verdict == key_verdict::full) {
         return failure{result_code::not_run_overloaded,
                        "too many keys are running"};
@@ -180,11 +185,12 @@
     return failure{code_of(decision.record), "as recorded for this key"};
 }
 
-/// Seeks the right to run from the other instances or by a claim. An empty
-/// optional is the right.
+/// Acquires the right to run a key, by a claim or from the other instances.
+/// Returns an empty optional if the call may run, otherwise the result to
+/// respond with.
 asio::awaitable<std::optional<outcome<recorded_answer>>>
-seek_right(const caller_request& request, const call_key& key,
-           std::size_t worker, traffic_services& services) {
+acquire_run_right(const caller_request& request, const call_key& key,
+                  std::size_t worker, traffic_services& services) {
     const auto pending = std::make_shared<pending_answer<run_right_result>>(
         services.contexts.at(worker).get().get_executor());
     services.decisions.add(
@@ -202,8 +208,10 @@
         .done = [answer = pending->handler()](const run_right_result& found) {
             answer(found);
         }});
-    // The gate answers by the deadline; the margin covers the way back.
-    const auto found = co_await pending->wait(request.deadline + right_margin);
+    // The attempt gate answers by the deadline; the margin allows for the
+    // transfer of its answer to this thread.
+    const auto found =
+        co_await pending->wait(request.deadline + run_right_margin);
     std::optional<outcome<recorded_answer>> result;
     if (!found) {
         result = failure{result_code::unknown_in_progress,
@@ -216,20 +224,22 @@
     co_return result;
 }
 
-/// The event for a sending that does not run, by what it is told.
-std::string_view replay_event_of(const outcome<recorded_answer>& told) {
-    if (told || classify(told.reason().code) == result_class::failed) {
+/// Returns the chart event for an attempt that is not run but gets the result
+/// of an earlier one.
+std::string_view replay_event_of(const outcome<recorded_answer>& replayed) {
+    if (replayed || classify(replayed.reason().code) == result_class::failed) {
         return "replay";
     }
-    return end_event_of(classify(told.reason().code));
+    return end_event_of(classify(replayed.reason().code));
 }
 
-/// Runs a call that must not run twice, under its key.
+/// Runs a non-idempotent call at most once per idempotency key.
 asio::awaitable<outcome<recorded_answer>>
-run_once(http_exchange& exchange, const caller_request& request,
-         std::string path, request_life& life, traffic_services& services) {
+run_keyed_call(http_exchange& exchange, const caller_request& request,
+               std::string path, request_lifecycle& lifecycle,
+               traffic_services& services) {
     if (request.key.is_empty()) {
-        life.fire("refuse");
+        lifecycle.fire("refuse");
         co_return failure{result_code::not_run_key_required,
                           "send an Idempotency-Key with this call"};
     }
@@ -239,23 +249,23 @@
     const key_decision decision =
         services.keys.begin(key, request.attempt, request.began);
     if (decision.verdict == key_verdict::acquire_right) {
-        life.fire("ask_right");
-        const auto told =
-            co_await seek_right(request, key, exchange.worker(), services);
-        if (told) {
-            life.fire(replay_event_of(*told));
-            co_return *told;
+        lifecycle.fire("ask_right");
+        const auto replayed = co_await acquire_run_right(
+            request, key, exchange.worker(), services);
+        if (replayed) {
+            lifecycle.fire(replay_event_of(*replayed));
+            co_return *replayed;
         }
-        life.fire("gain_right");
+        lifecycle.fire("gain_right");
     } else if (decision.verdict != key_verdict::run) {
-        const auto told = answer_of(decision);
-        life.fire(replay_event_of(told));
-        co_return told;
+        const auto replayed = answer_from(decision);
+        lifecycle.fire(replay_event_of(replayed));
+        co_return replayed;
     } else {
-        life.fire("enqueue");
+        lifecycle.fire("enqueue");
     }
     const auto answer = co_await run_call(exchange, request, std::move(path),
-                                          false, life, services);
+                                          false, lifecycle, services);
     const steady_time now = std::chrono::steady_clock::now();
     if (answer) {
         services.keys.finish(key, *answer, now);
@@ -265,7 +275,7 @@
     co_return answer;
 }
 
-failure end_of(const outcome<recorded_answer>& answer) {
+failure final_result(const outcome<recorded_answer>& answer) {
     if (!answer) {
         return answer.reason();
     }
@@ -281,19 +291,21 @@
         std::string_view(path).substr(0, path.find('?'));
     const bool is_idempotent =
         request.service->document->is_idempotent(plain_path);
-    // No conditional expression around co_await: GCC 12 destroys the result
-    // of one twice.
-    request_life life(services.request_chart, services.chart_violations);
+    // Not a conditional expression: GCC 12 destroys the result of a co_await
+    // within one twice.
+    request_lifecycle lifecycle(services.request_chart,
+                                services.chart_violations);
     std::optional<outcome<recorded_answer>> ended;
     if (is_idempotent) {
-        life.fire("enqueue");
-        ended =
-            co_await run_call(exchange, request, path, true, life, services);
+        lifecycle.fire("enqueue");
+        ended = co_await run_call(exchange, request, path, true, lifecycle,
+                                  services);
     } else {
-        ended = co_await run_once(exchange, request, path, life, services);
+        ended = co_await run_keyed_call(exchange, request, path, lifecycle,
+                                        services);
     }
     const outcome<recorded_answer>& answer = *ended;
-    note_end(services, request, end_of(answer));
+    record_end(services, request, final_result(answer));
     http_response response =
         answer ? to_response(*answer, request.id, services.instance)
                : make_failure_answer(request.id, answer.reason(),
--- a/drivers/caller_http/plain_call.hpp
+++ b/drivers/caller_http/plain_call.hpp
@@ -4,8 +4,9 @@
 
 namespace savorydock {
 
-/// Passes a call to a plain service: idempotent calls are tried again within
-/// their deadline, the others run at most once. Answers the exchange.
+/// Forwards a call to a plain service. Idempotent calls are retried within
+/// their deadline; all others run at most once. Sends the response through
+/// the exchange.
 boost::asio::awaitable<void> serve_plain_call(http_exchange& exchange,
                                               caller_request request,
                                               std::string path,
--- a/drivers/caller_http/request_life.hpp
+++ b/drivers/caller_http/request_lifecycle.hpp
@@ -8,14 +8,14 @@
 
 namespace savorydock {
 
-/// Where one request stands in charts/request_life.json. An event that the
-/// chart does not allow is counted and changes nothing: a fault of the code
-/// that /metrics shows. Lives on one traffic thread; the chart and the counter
-/// must outlive it.
-class request_life {
+/// The state of one request in charts/request_life.json. An event that the
+/// chart does not allow leaves the state unchanged and is counted; such an
+/// event is a bug in the code, and /metrics shows the count. Used on one
+/// traffic thread; the chart and the counter must outlive it.
+class request_lifecycle {
 public:
-    request_life(const state_chart& chart,
-                 std::atomic<std::uint64_t>& violations)
+    request_lifecycle(const state_chart& chart,
+                      std::atomic<std::uint64_t>& violations)
         : position_(chart)
         , violations_(violations) {}
 
@@ -27,7 +27,8 @@
 
     [[nodiscard]] const chart_position& position() const { return position_; }
 
-    /// Checks that a chart has what the callers' interface fires.
+    /// Checks that a chart has the states and events that the interface for
+    /// callers uses.
     /// Errors: `invalid_chart`.
     [[nodiscard]] static outcome<done> check_chart(const state_chart& chart) {
         return chart.require({"received", "deciding", "queued", "connecting",
@@ -43,7 +44,8 @@
     std::atomic<std::uint64_t>& violations_;
 };
 
-/// The event that ends a request with a code. Thread safe.
+/// Returns the event that ends a request with a result of this class. Thread
+/// safe.
 [[nodiscard]] constexpr std::string_view end_event_of(result_class kind) {
     switch (kind) {
     case result_class::complete:
--- a/drivers/caller_http/retry_budgets.hpp
+++ b/drivers/caller_http/retry_budgets.hpp
@@ -12,7 +12,8 @@
 /// The retry budget of each service. Thread safe.
 class retry_budgets {
 public:
-    /// The budget of a service; a new fraction begins a new budget.
+    /// Returns the budget of a service. A changed fraction starts a new
+    /// budget.
     [[nodiscard]] std::shared_ptr<retry_budget> of(const service_name& service,
                                                    double fraction) {
         const std::lock_guard lock(mutex_);
--- a/drivers/caller_http/step_call.cpp
+++ b/drivers/caller_http/step_call.cpp
@@ -47,7 +47,7 @@
                              const caller_request& request,
                              const failure& reason,
                              traffic_services& services) {
-    note_end(services, request, reason);
+    record_end(services, request, reason);
     http_response answer =
         make_failure_answer(request.id, reason, services.instance);
     co_await exchange.respond(std::move(answer));
@@ -87,7 +87,7 @@
     services.log.write(log_event::step_finished,
                        "step=" + step_name +
                            " result=" + std::string(name_of(code)));
-    note_end(services, request, {code, ""});
+    record_end(services, request, {code, ""});
     std::string chunk =
         to_server_sent_event(summarize(*runner, code)) + "data: [DONE]\n\n";
     if (co_await exchange.write_chunk(std::move(chunk))) {
--- a/drivers/caller_http/step_call.hpp
+++ b/drivers/caller_http/step_call.hpp
@@ -4,9 +4,9 @@
 
 namespace savorydock {
 
-/// Serves one session of a trainer's step: samples as server-sent events in
-/// the order in which they become whole, then one event with the result.
-/// Answers the exchange.
+/// Serves one session of a trainer's step: sends each sample as a server-sent
+/// event as soon as it is complete, then one event with the result. Sends
+/// the response through the exchange.
 boost::asio::awaitable<void> serve_step(http_exchange& exchange,
                                         caller_request request,
                                         traffic_services& services);
--- a/drivers/caller_http/step_runner.cpp
+++ b/drivers/caller_http/step_runner.cpp
@@ -17,14 +17,15 @@
 
 namespace {
 
-/// Runs of one step in flight at most; the upstreams' queues do the rest.
+/// Maximum number of runs of one step in flight. Within this limit, the queues
+/// of the upstreams decide how many execute at once.
 constexpr std::size_t max_runs = 256;
-/// How often the trainer's connection and the deadline are looked at.
+/// How often the trainer's connection and the deadline are checked.
 constexpr std::chrono::milliseconds check_interval{200};
 constexpr std::chrono::milliseconds review_interval{1'000};
-/// How long a slot waits after a run that brought nothing.
+/// How long a slot waits after a failed run.
 constexpr std::chrono::milliseconds pause_after_failure{100};
-/// The schedule hears of every so many tokens of a run.
+/// Progress of a run is reported to the schedule once per this many tokens.
 constexpr std::uint32_t tokens_per_report = 16;
 
 json::object to_json(const finished_sample& sample) {
@@ -70,11 +71,11 @@
     , session_(std::move(session))
     , worker_(worker)
     , services_(services)
-    , knowledge_(
-          services.knowledge.at(worker)[request_.service->document->service])
+    , statistics_(
+          services.statistics.at(worker)[request_.service->document->service])
     , schedule_(make_schedule_options(request_, body_), hash_prefixes(body_),
-                knowledge_.lengths, knowledge_.outlook)
-    , change_(services.contexts.at(worker).get()) {
+                statistics_.lengths, statistics_.outlook)
+    , wake_timer_(services.contexts.at(worker).get()) {
     for (std::size_t slot = 0; slot < body_.held.size(); ++slot) {
         if (body_.held[slot]) {
             schedule_.finish(
@@ -103,9 +104,9 @@
 
 void step_runner::start_runs() {
     const steady_time now = std::chrono::steady_clock::now();
-    knowledge_.outlook.observe(newest_version(), now);
+    statistics_.outlook.observe(newest_version(), now);
     std::vector<slot_place> deferred;
-    while (live_.size() < max_runs && session_.has_room()) {
+    while (active_runs_.size() < max_runs && session_.has_room()) {
         const auto start = schedule_.next(now);
         if (!start) {
             break;
@@ -117,7 +118,7 @@
         } else if (session_.is_settled(slot)) {
             schedule_.finish(start->slot);
         } else {
-            // A dropped run of the slot has not come to its end yet.
+            // A dropped run of the slot has not ended yet.
             deferred.push_back(start->slot);
         }
     }
@@ -128,93 +129,104 @@
 
 void step_runner::start_run(const slot_run& run,
                             std::vector<upstream_id> excluded) {
-    const auto live = std::make_shared<live_run>();
-    live->run = run;
-    live->key = {.slot = to_place(run.slot), .run = next_key_++};
-    live_.emplace(live->key, live);
-    schedule_.begin(live->key, knowledge_.outlook.newest(),
+    const auto current_run = std::make_shared<active_run>();
+    current_run->run = run;
+    current_run->key = {.slot = to_place(run.slot), .run = next_key_++};
+    active_runs_.emplace(current_run->key, current_run);
+    schedule_.begin(current_run->key, statistics_.outlook.newest(),
                     std::chrono::steady_clock::now());
-    asio::co_spawn(change_.get_executor(),
-                   shared_from_this()->run_slot(live, std::move(excluded)),
-                   asio::detached);
+    asio::co_spawn(
+        wake_timer_.get_executor(),
+        shared_from_this()->run_slot(current_run, std::move(excluded)),
+        asio::detached);
 }
 
-asio::awaitable<void> step_runner::run_slot(std::shared_ptr<live_run> live,
-                                            std::vector<upstream_id> excluded) {
+asio::awaitable<void>
+step_runner::run_slot(std::shared_ptr<active_run> current_run,
+                      std::vector<upstream_id> excluded) {
     const auto self = shared_from_this();
-    const step_group& group = body_.groups.at(live->run.slot.group);
-    answer_assembler answer(live->run.stream, live->run.attempt);
-    generation_order order{
-        .stream = live->run.stream,
+    const step_group& group = body_.groups.at(current_run->run.slot.group);
+    answer_assembler answer(current_run->run.stream, current_run->run.attempt);
+    generation_task task{
+        .stream = current_run->run.stream,
         .prompt = group.prompt,
         .max_tokens = group.max_tokens,
-        .seed = live->run.slot.index,
+        .seed = current_run->run.slot.index,
         .prefix_hash = hash_prefix(group.prompt),
         .expected_tokens = group.max_tokens,
         .excluded = std::move(excluded),
         .on_upstream =
-            [live](const upstream_id& upstream) { live->upstream = upstream; },
-        .must_move = [live] { return std::exchange(live->must_move, false); },
-        .next_attempt = [this, live]() -> attempt_number {
-            const auto next = session_.resume(live->run);
+            [current_run](const upstream_id& upstream) {
+                current_run->upstream = upstream;
+            },
+        .must_move =
+            [current_run] {
+                return std::exchange(current_run->must_move, false);
+            },
+        .next_attempt = [this, current_run]() -> attempt_number {
+            const auto next = session_.resume(current_run->run);
             if (!next) {
                 return 0;
             }
-            live->run = *next;
+            current_run->run = *next;
             return next->attempt;
         },
-        .sink = [this, live,
+        .sink = [this, current_run,
                  &answer](const stream_event&) -> asio::awaitable<bool> {
             if (answer.next_token() % tokens_per_report == 1) {
-                schedule_.progress(live->key, answer.next_token(),
+                schedule_.progress(current_run->key, answer.next_token(),
                                    std::chrono::steady_clock::now());
             }
-            co_return !session_.result() && !live->must_move &&
-                !live->is_dropped;
+            co_return !session_.result() && !current_run->must_move &&
+                !current_run->is_dropped;
         },
     };
     const auto result =
-        co_await run_generation(order, request_, worker_, answer, services_);
+        co_await run_generation(task, request_, worker_, answer, services_);
     if (!result) {
-        asio::steady_timer pause(change_.get_executor(), pause_after_failure);
+        asio::steady_timer pause(wake_timer_.get_executor(),
+                                 pause_after_failure);
         co_await pause.async_wait(asio::as_tuple(asio::use_awaitable));
     }
-    end_run(*live, answer, result);
-    change_.cancel();
+    end_run(*current_run, answer, result);
+    wake_timer_.cancel();
 }
 
-void step_runner::end_run(const live_run& live, const answer_assembler& answer,
+void step_runner::end_run(const active_run& current_run,
+                          const answer_assembler& answer,
                           const outcome<done>& result) {
-    live_.erase(live.key);
+    active_runs_.erase(current_run.key);
     result_code code = result.reason().code;
     if (result) {
-        code = session_.end_run(live.run, answer);
+        code = session_.end_run(current_run.run, answer);
     } else {
-        // A run that we ended ourselves is no reason to refuse its slot.
-        session_.fail_run(live.run, code == result_code::cancelled_by_caller
-                                        ? result_code::failed_truncated
-                                        : code);
+        // The runner cancelled this run itself, so the slot must not be
+        // refused because of it.
+        session_.fail_run(current_run.run,
+                          code == result_code::cancelled_by_caller
+                              ? result_code::failed_truncated
+                              : code);
     }
     if (code == result_code::ok) {
-        knowledge_.lengths.learn(
-            hash_prefix(body_.groups.at(live.key.slot.group).prompt),
+        statistics_.lengths.learn(
+            hash_prefix(body_.groups.at(current_run.key.slot.group).prompt),
             answer.next_token());
-        schedule_.finish(live.key.slot);
-        answered_.insert(live.key.slot);
-        drop_others(live.key.slot);
+        schedule_.finish(current_run.key.slot);
+        answered_.insert(current_run.key.slot);
+        drop_others(current_run.key.slot);
         return;
     }
-    schedule_.lose(live.key);
+    schedule_.lose(current_run.key);
     if (code != result_code::cancelled_by_caller) {
         services_.log.write(log_event::sample_discarded,
-                            "slot=" + to_text(live.run.slot) +
+                            "slot=" + to_text(current_run.run.slot) +
                                 " result=" + std::string(name_of(code)));
     }
 }
 
 void step_runner::drop_others(slot_place place) {
-    for (const auto& [key, live] : live_) {
-        live->is_dropped = live->is_dropped || key.slot == place;
+    for (const auto& [key, current_run] : active_runs_) {
+        current_run->is_dropped = current_run->is_dropped || key.slot == place;
     }
 }
 
@@ -229,29 +241,29 @@
 }
 
 void step_runner::act_on(const straggler_action& action) {
-    const auto found = live_.find(action.run);
-    if (found == live_.end()) {
+    const auto found = active_runs_.find(action.run);
+    if (found == active_runs_.end()) {
         return;
     }
-    live_run& live = *found->second;
+    active_run& current_run = *found->second;
     if (action.kind == straggler_kind::restart) {
-        live.is_dropped = true;
+        current_run.is_dropped = true;
         return;
     }
     if (action.kind == straggler_kind::resume_elsewhere) {
-        live.must_move = true;
-        schedule_.begin(live.key, knowledge_.outlook.newest(),
+        current_run.must_move = true;
+        schedule_.begin(current_run.key, statistics_.outlook.newest(),
                         std::chrono::steady_clock::now());
         return;
     }
-    const auto second = session_.hedge(live.run.slot);
+    const auto second = session_.hedge(current_run.run.slot);
     if (second) {
         services_.decisions.add(request_.id.text(),
                                 {.kind = decision_kind::hedged,
-                                 .upstream = live.upstream,
-                                 .detail = to_text(live.run.slot)},
+                                 .upstream = current_run.upstream,
+                                 .detail = to_text(current_run.run.slot)},
                                 std::chrono::steady_clock::now());
-        start_run(*second, {live.upstream});
+        start_run(*second, {current_run.upstream});
     }
 }
 
@@ -282,8 +294,8 @@
 }
 
 asio::awaitable<void> step_runner::wait_for_change() {
-    change_.expires_after(check_interval);
-    co_await change_.async_wait(asio::as_tuple(asio::use_awaitable));
+    wake_timer_.expires_after(check_interval);
+    co_await wake_timer_.async_wait(asio::as_tuple(asio::use_awaitable));
 }
 
 void step_runner::open() {
@@ -292,12 +304,12 @@
         step_opening{.key = options.key,
                      .epoch = options.epoch,
                      .on_newer_epoch = [weak = weak_from_this(),
-                                        executor = change_.get_executor()](
+                                        executor = wake_timer_.get_executor()](
                                            session_epoch epoch) {
                          asio::post(executor, [weak, epoch] {
                              if (const auto self = weak.lock()) {
                                  self->session_.observe_epoch(epoch);
-                                 self->change_.cancel();
+                                 self->wake_timer_.cancel();
                              }
                          });
                      }});
@@ -332,7 +344,7 @@
         check_end(exchange);
     }
     close();
-    // Runs that no longer count end at their next token, see `run_slot`.
+    // Cancelled runs end at their next token, see `run_slot`.
     static_cast<void>(session_.take_cancelled());
     co_return *session_.result();
 }
--- a/drivers/caller_http/step_runner.hpp
+++ b/drivers/caller_http/step_runner.hpp
@@ -13,23 +13,26 @@
 
 namespace savorydock {
 
-/// Runs the slots of one step session on upstreams and writes the samples to
-/// the trainer: the schedule says which slot runs when and what becomes of
-/// stragglers, the session what may be handed over. Lives on one traffic
-/// thread; runs that end after the trainer left keep it alive until they do.
+/// Runs the slots of one step session on upstreams and streams the samples to
+/// the trainer. The schedule decides when each slot runs and how stragglers are
+/// handled; the session decides which samples may be handed over. Used on one
+/// traffic thread. Runs that are still active after the trainer disconnected
+/// keep the object alive until they end.
 class step_runner : public std::enable_shared_from_this<step_runner> {
 public:
     step_runner(caller_request request, step_body body, step_session session,
                 std::size_t worker, traffic_services& services);
 
-    /// Serves until the session ends. Precondition: the stream has begun.
+    /// Serves the step until the session ends; returns its result.
+    /// Precondition: the response stream has begun.
     boost::asio::awaitable<result_code> serve(http_exchange& exchange);
 
     [[nodiscard]] const step_session& session() const { return session_; }
 
 private:
-    /// One run in flight. Its coroutine looks at the marks at each token.
-    struct live_run {
+    /// One run in flight. Its coroutine checks `must_move` and `is_dropped` at
+    /// each token.
+    struct active_run {
         slot_run run;
         run_key key;
         upstream_id upstream;
@@ -46,9 +49,9 @@
     void drop_others(slot_place place);
     void reopen_discarded();
     void check_end(http_exchange& exchange);
-    boost::asio::awaitable<void> run_slot(std::shared_ptr<live_run> live,
+    boost::asio::awaitable<void> run_slot(std::shared_ptr<active_run> live,
                                           std::vector<upstream_id> excluded);
-    void end_run(const live_run& live, const answer_assembler& answer,
+    void end_run(const active_run& live, const answer_assembler& answer,
                  const outcome<done>& result);
     boost::asio::awaitable<void> hand_over(http_exchange& exchange);
     boost::asio::awaitable<void> wait_for_change();
@@ -60,11 +63,11 @@
     step_session session_;
     std::size_t worker_;
     traffic_services& services_;
-    step_knowledge& knowledge_;
+    step_statistics& statistics_;
     step_schedule schedule_;
-    boost::asio::steady_timer change_;
-    std::map<run_key, std::shared_ptr<live_run>> live_;
-    /// Slots with an answer that the trainer does not have yet.
+    boost::asio::steady_timer wake_timer_;
+    std::map<run_key, std::shared_ptr<active_run>> active_runs_;
+    /// Slots whose answer is complete but not yet sent to the trainer.
     std::set<slot_place> answered_;
     std::uint32_t next_key_ = 0;
     std::uint32_t too_old_ = 0;
--- a/drivers/caller_http/suspect_guard.cpp
+++ b/drivers/caller_http/suspect_guard.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds permit_retry{100};
-/// Losses after which the request is held, as in `crash_suspicion`.
+/// Number of lost upstreams after which the request is held; the same as in
+/// `crash_suspicion`.
 constexpr std::uint32_t losses_to_hold = 2;
 
 failure held_reason(const std::string& fingerprint) {
@@ -22,7 +23,8 @@
             "upstreams were lost while it ran; fingerprint " + fingerprint};
 }
 
-/// A loss after bytes were sent; a timeout is no crash.
+/// Whether the connection was lost after bytes were sent. A timeout does not
+/// count, as it is not a sign of a crash.
 bool is_loss(result_code code) {
     return code == result_code::unknown_upstream_lost ||
            code == result_code::failed_truncated;
@@ -55,7 +57,7 @@
            (found != view->end() && found->second.is_blocked);
 }
 
-bool suspect_guard::is_marked() const {
+bool suspect_guard::is_suspect() const {
     return losses_ > 0 || services_.delivery.suspects()->contains(fingerprint_);
 }
 
@@ -66,7 +68,7 @@
                                 : found->second.excluded;
 }
 
-asio::awaitable<bool> suspect_guard::ask_permit(upstream_id upstream) {
+asio::awaitable<bool> suspect_guard::request_permit(upstream_id upstream) {
     using permit = std::pair<bool, std::string>;
     const auto pending = std::make_shared<pending_answer<permit>>(
         services_.contexts.at(worker_).get().get_executor());
@@ -90,11 +92,11 @@
 }
 
 asio::awaitable<outcome<done>> suspect_guard::enter(upstream_id upstream) {
-    while (is_marked()) {
+    while (is_suspect()) {
         if (is_held()) {
             co_return held_reason(fingerprint_);
         }
-        if (co_await ask_permit(upstream)) {
+        if (co_await request_permit(upstream)) {
             break;
         }
         const auto now = std::chrono::steady_clock::now();
@@ -118,7 +120,7 @@
                                    .upstream = entered_,
                                    .fingerprint = fingerprint_,
                                    .is_sole_suspect = !permit_.empty()}});
-    } else if (code == result_code::ok && is_marked()) {
+    } else if (code == result_code::ok && is_suspect()) {
         services_.delivery.submit(
             suspect_clearing{.fingerprint = fingerprint_});
     }
--- a/drivers/caller_http/traffic_services.hpp
+++ b/drivers/caller_http/traffic_services.hpp
@@ -27,14 +27,16 @@
 
 class admission_gate;
 
-/// What the steps of one service have taught a traffic thread.
-struct step_knowledge {
+/// Statistics that one traffic thread has gathered from the steps of one
+/// service.
+struct step_statistics {
     length_estimator lengths;
     weights_outlook outlook;
 };
 
-/// What the traffic threads of one instance share. Every member is thread
-/// safe, or belongs to one traffic thread by its index.
+/// The objects that the traffic threads of one instance share. Every member is
+/// either thread safe or a list with one element per traffic thread, each used
+/// by that thread only.
 struct traffic_services {
     instance_id instance;
     upstream_router& router;
@@ -48,23 +50,25 @@
     logger& log;
     std::shared_ptr<const step_charts> charts;
     const state_chart& request_chart;
-    /// Tells control what traffic saw of an upstream.
+    /// Reports to control how an upstream behaved in a call.
     std::function<void(upstream_observation)> observe;
     /// The I/O context of each traffic thread.
     std::vector<std::reference_wrapper<boost::asio::io_context>> contexts;
-    /// What each traffic thread has learnt of each service's samples.
-    std::vector<std::map<service_name, step_knowledge>> knowledge;
-    /// One client a traffic thread.
+    /// Step statistics by traffic thread and service.
+    std::vector<std::map<service_name, step_statistics>> statistics;
+    /// One client per traffic thread.
     std::vector<std::unique_ptr<upstream_client>> clients;
 
     std::atomic<std::shared_ptr<const configuration_view>> configuration;
     std::atomic<bool> is_draining{false};
-    /// Events that a request's chart did not allow.
+    /// Number of events that the state chart of a request did not allow.
     std::atomic<std::uint64_t> chart_violations{0};
-    /// When long streams end early so that their callers connect elsewhere.
+    /// When steps that still run are ended early, so that their trainers
+    /// reconnect to another instance.
     std::atomic<steady_time> hand_off_at{steady_time::max()};
     std::atomic<std::uint64_t> next_request{1};
-    /// Makes request ids of successive processes distinct.
+    /// Part of generated request ids; distinguishes the successive processes of
+    /// one instance.
     std::string incarnation;
 };
 
--- a/drivers/entry/control_plane.cpp
+++ b/drivers/entry/control_plane.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// The router sets weights by latency at each publication.
+/// Interval for publishing to the router even without changes: the router
+/// recomputes its weights by latency at each publication.
 constexpr std::chrono::milliseconds router_refresh{1'000};
 
 std::uint64_t seconds_since_1970() {
@@ -78,8 +79,8 @@
     }
     shared_members_ = std::move(members);
     std::vector<known_instance> known;
-    std::vector<instance_id> living_peers;
-    std::vector<instance_id> away_peers;
+    std::vector<instance_id> alive_peers;
+    std::vector<instance_id> other_zone_peers;
     std::map<instance_id, endpoint> addresses;
     for (const member_record& member : shared_members_) {
         const bool is_alive = is_living(member.condition);
@@ -91,18 +92,18 @@
         }
         addresses.emplace(member.name, member.address);
         if (is_alive && member.zone == settings_.zone) {
-            living_peers.push_back(member.name);
+            alive_peers.push_back(member.name);
         } else if (is_alive) {
-            away_peers.push_back(member.name);
+            other_zone_peers.push_back(member.name);
         }
     }
-    living_peers.insert(living_peers.end(), away_peers.begin(),
-                        away_peers.end());
+    alive_peers.insert(alive_peers.end(), other_zone_peers.begin(),
+                       other_zone_peers.end());
     executor_.set_addresses(std::move(addresses));
     configuration_.on_instances(known, now);
     candidates_.update(settings_.instance, settings_.zone, known);
-    delivery_.set_peers(living_peers);
-    explanations_.set_peers(std::move(living_peers));
+    delivery_.set_peers(alive_peers);
+    explanations_.set_peers(std::move(alive_peers));
 }
 
 void control_plane::share_upstreams(steady_time now) {
--- a/drivers/entry/control_plane.hpp
+++ b/drivers/entry/control_plane.hpp
@@ -30,30 +30,33 @@
     key_ledger& keys;
     delivery_port& port;
     std::shared_ptr<rate_limiter> limiter;
-    /// Unique over the restarts of the instance.
+    /// Identifies this run of the process; differs after each restart.
     std::string boot;
-    /// Called on the control thread with each new set of services.
+    /// Called on the control thread with each new configuration view.
     std::function<void(std::shared_ptr<const configuration_view>)> on_view;
 };
 
-/// All control servers of an instance, and what they learn from each other.
-/// Everything runs on the control thread but the constructor and `attach`.
+/// All control servers of an instance and the exchange of state between them.
+/// All methods except the constructor and `attach` must run on the control
+/// thread.
 class control_plane {
 public:
-    /// What the options refer to must outlive the plane.
+    /// Everything that the options refer to must outlive this object.
     explicit control_plane(const control_plane_options& options);
 
-    /// Adds the servers to a runtime. Precondition: it is not started.
+    /// Adds the servers to a runtime. Precondition: the runtime is not started.
     void attach(control_runtime& runtime);
 
-    /// Passes on what one server learnt and others need. Call it after each
-    /// tick.
+    /// Passes changed members, upstream states and configuration to the other
+    /// servers and the router. Call it after each tick.
     void share(steady_time now, command_list& out);
 
-    /// What control has cost so far, in the Prometheus text format.
+    /// Returns counters of the messages, bytes and calls that the control
+    /// servers have used, in the Prometheus text format.
     [[nodiscard]] std::string write_counters() const;
 
-    /// Tells the others that this instance ends.
+    /// Announces to the other instances that this one is leaving and starts to
+    /// drain its orders.
     void begin_drain();
 
     [[nodiscard]] configuration_server& configuration() {
--- a/drivers/entry/entry_charts.cpp
+++ b/drivers/entry/entry_charts.cpp
@@ -1,6 +1,6 @@
 #include "drivers/entry/entry_charts.hpp"
 
-#include "drivers/caller_http/request_life.hpp"
+#include "drivers/caller_http/request_lifecycle.hpp"
 #include "servers/control/order_tracker.hpp"
 #include "servers/membership/upstream_health.hpp"
 
@@ -23,9 +23,10 @@
     if (!request) {
         return request.reason();
     }
-    for (const auto& checked : {savorydock::request_life::check_chart(*request),
-                                upstream_health::check_chart(*upstream),
-                                order_tracker::check_chart(*order)}) {
+    for (const auto& checked :
+         {savorydock::request_lifecycle::check_chart(*request),
+          upstream_health::check_chart(*upstream),
+          order_tracker::check_chart(*order)}) {
         if (!checked) {
             return checked.reason();
         }
--- a/drivers/entry/entry_charts.hpp
+++ b/drivers/entry/entry_charts.hpp
@@ -8,7 +8,7 @@
 
 namespace savorydock {
 
-/// Every state chart that an instance runs by, checked against the code.
+/// All state charts that an entry instance uses, checked against the code.
 /// Immutable after `load`, hence thread safe.
 struct entry_charts {
     std::shared_ptr<const step_charts> step;
@@ -16,7 +16,7 @@
     state_chart order_life;
     state_chart request_life;
 
-    /// Reads all charts of a folder. Errors: `not_found`, `invalid_chart`.
+    /// Loads all charts from a folder. Errors: `not_found`, `invalid_chart`.
     [[nodiscard]] static outcome<entry_charts> load(const std::string& folder);
 };
 
--- a/drivers/entry/entry_executor.cpp
+++ b/drivers/entry/entry_executor.cpp
@@ -14,13 +14,13 @@
 constexpr unsigned status_ok = 200;
 constexpr unsigned status_conflict = 409;
 
-failure judge_refusal(const http_response& answer) {
+failure refusal_failure(const http_response& answer) {
     return {answer.status == status_conflict ? result_code::fencing_refused
                                              : result_code::failed_by_upstream,
             answer.body};
 }
 
-failure judge_loss(const failure& reason) {
+failure transport_failure(const failure& reason) {
     if (classify(reason.code) == result_class::not_run) {
         return {result_code::not_run_no_upstream, reason.detail};
     }
@@ -66,8 +66,8 @@
         });
 }
 
-void entry_executor::give_order(upstream_order order,
-                                std::function<void(order_reply)> answer) {
+void entry_executor::execute_order(upstream_order order,
+                                   std::function<void(order_reply)> answer) {
     asio::co_spawn(context_, send_order(std::move(order), std::move(answer)),
                    asio::detached);
 }
@@ -82,16 +82,17 @@
         .headers = {{"Content-Type", "application/json"}},
         .body = order.body,
     };
-    // The lease that allows the order ends at `not_after`; the client checks
-    // it once more after it has connected. A fresh connection can't be one
-    // that the other end is about to close.
+    // The lease that permits the order ends at `not_after`, so the client
+    // checks the time again after connecting. A new connection is used because
+    // the upstream may be about to close an idle one.
     const auto result = co_await client_.call(
         order.address, std::move(request), order.not_after + order.timeout,
         connection_use::fresh, order.not_after);
     if (!result) {
-        answer({.ticket = order.ticket, .answer = judge_loss(result.reason())});
+        answer({.ticket = order.ticket,
+                .answer = transport_failure(result.reason())});
     } else if (result->status != status_ok) {
-        answer({.ticket = order.ticket, .answer = judge_refusal(*result)});
+        answer({.ticket = order.ticket, .answer = refusal_failure(*result)});
     } else {
         answer({.ticket = order.ticket, .answer = result->body});
     }
--- a/drivers/entry/entry_executor.hpp
+++ b/drivers/entry/entry_executor.hpp
@@ -11,22 +11,23 @@
 
 namespace savorydock {
 
-/// Carries out control commands by the peer link, the platform's client and
-/// HTTP. `context` is run by one thread and outlives the executor, as do the
-/// transport and the store.
+/// Executes control commands through the peer link, the platform store and
+/// HTTP. `context` must be run by a single thread. The context, the transport
+/// and the store must outlive the executor.
 class entry_executor final : public control_executor {
 public:
     entry_executor(boost::asio::io_context& context, peer_transport& peers,
                    platform_store& platform);
 
-    /// Sets where instances can be reached. Thread safe.
+    /// Sets the peer addresses of the instances. Messages to an instance that
+    /// is not in the map are dropped. Thread safe.
     void set_addresses(std::map<instance_id, endpoint> addresses);
 
     void send_to_peer(const peer_message& message) override;
     void call_platform(platform_call call,
                        std::function<void(platform_reply)> answer) override;
-    void give_order(upstream_order order,
-                    std::function<void(order_reply)> answer) override;
+    void execute_order(upstream_order order,
+                       std::function<void(order_reply)> answer) override;
 
 private:
     boost::asio::awaitable<void>
--- a/drivers/entry/entry_instance.cpp
+++ b/drivers/entry/entry_instance.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::chrono::milliseconds drain_check{20};
 
-std::uint64_t draw_seed() {
+std::uint64_t make_random_seed() {
     std::random_device device;
     return (std::uint64_t{device()} << 32U) | device();
 }
@@ -40,13 +40,13 @@
 
 } // namespace
 
-/// The parts in the order of their construction. Control and traffic stop
-/// before what they use is destroyed, see `stop`.
+/// The components in the order of their construction. `stop` ends the control
+/// and traffic threads before the objects that they use are destroyed.
 struct entry_instance::parts {
     parts(instance_settings used, entry_charts loaded)
         : settings(std::move(used))
         , charts(std::move(loaded))
-        , seed(draw_seed())
+        , seed(make_random_seed())
         , random(seed)
         , log(settings.log_file, settings.log_level, settings.instance.text())
         , control_io(1)
@@ -75,7 +75,7 @@
                .port = delivery,
                .limiter = limiter,
                .boot = to_hex(seed),
-               .on_view = [this](auto view) { take_view(std::move(view)); }})
+               .on_view = [this](auto view) { apply_view(std::move(view)); }})
         , gate(router)
         , traffic{.instance = settings.instance,
                   .router = router,
@@ -97,21 +97,21 @@
         , operator_server(control_io, settings.limits,
                           make_operator_api(operators)) {
         traffic.incarnation = to_hex(seed);
-        traffic.knowledge.resize(traffic_io.size());
+        traffic.statistics.resize(traffic_io.size());
         for (std::size_t i = 0; i < traffic_io.size(); ++i) {
             traffic.contexts.emplace_back(traffic_io.context(i));
             traffic.clients.push_back(
                 std::make_unique<upstream_client>(traffic_io.context(i)));
         }
-        set_up_operators();
+        bind_operator_services();
     }
 
     ~parts() { stop(); }
 
     outcome<done> start();
     void stop();
-    void take_view(std::shared_ptr<const configuration_view> view);
-    void set_up_operators();
+    void apply_view(std::shared_ptr<const configuration_view> view);
+    void bind_operator_services();
     json::object make_status(steady_time now);
 
     instance_settings settings;
@@ -146,7 +146,7 @@
     endpoint peer_address;
 };
 
-void entry_instance::parts::take_view(
+void entry_instance::parts::apply_view(
     std::shared_ptr<const configuration_view> view) {
     router.publish(view, control.membership().upstream_states());
     traffic.configuration.store(view);
@@ -173,7 +173,7 @@
     };
 }
 
-void entry_instance::parts::set_up_operators() {
+void entry_instance::parts::bind_operator_services() {
     operators.operator_key = settings.operator_key;
     operators.read_status = [this](auto answer) {
         runtime.post([this, answer](steady_time now, command_list&) {
--- a/drivers/entry/entry_instance.hpp
+++ b/drivers/entry/entry_instance.hpp
@@ -8,27 +8,31 @@
 
 namespace savorydock {
 
-/// One entry instance: everything that `savorydock-entry` runs, as a library.
+/// One entry instance: everything that the program `savorydock-entry` runs.
 ///
-/// Threads: one for control state, `traffic_threads` for traffic, one for the
-/// peer link, the platform and orders.
+/// Threads: one for control state, `traffic_threads` for requests of callers,
+/// and one for the I/O of the peer link, the platform, orders and the
+/// operators' interface.
 class entry_instance {
 public:
-    /// Starts an instance. Errors: `invalid_settings` if an address can't be
-    /// listened on, `invalid_chart`, `not_found` for a chart file.
+    /// Starts an instance. Errors: `invalid_settings` if it can't listen on an
+    /// address; `not_found` or `invalid_chart` if a chart file is missing or
+    /// invalid.
     [[nodiscard]] static outcome<std::unique_ptr<entry_instance>>
     start(const instance_settings& settings);
 
-    /// Ends the instance; requests that still run are cut off, see `drain`.
+    /// Stops the instance and aborts requests that still run. Call `drain`
+    /// first to let them finish.
     ~entry_instance();
     entry_instance(const entry_instance&) = delete;
     entry_instance& operator=(const entry_instance&) = delete;
 
-    /// Takes no new work, and waits until no request is left or the timeout
-    /// of the settings has passed. Returns whether none was left. Blocks.
+    /// Refuses new work and waits until no request is left or the drain timeout
+    /// of the settings has passed. Returns whether all requests finished.
+    /// Blocks.
     bool drain();
 
-    /// Whether an operator asked for the instance's end. Thread safe.
+    /// Whether an operator requested a drain. Thread safe.
     [[nodiscard]] bool is_drain_wanted() const;
 
     [[nodiscard]] const endpoint& caller_address() const;
--- a/drivers/entry/rendezvous_candidates.cpp
+++ b/drivers/entry/rendezvous_candidates.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Instances that try at all: the first and one that stands in.
+/// Number of instances per shard that try to become its holder: the preferred
+/// one and a standby.
 constexpr std::size_t candidate_count = 2;
 
 } // namespace
@@ -18,15 +19,15 @@
     const std::vector<known_instance>& instances) {
     self_ = self.text();
     zone_ = zone.text();
-    of_zone_.clear();
-    of_fleet_.clear();
+    zone_instances_.clear();
+    fleet_instances_.clear();
     for (const known_instance& known : instances) {
         if (!known.is_alive) {
             continue;
         }
-        of_fleet_.push_back(known.instance.text());
+        fleet_instances_.push_back(known.instance.text());
         if (known.zone == zone) {
-            of_zone_.push_back(known.instance.text());
+            zone_instances_.push_back(known.instance.text());
         }
     }
 }
@@ -35,7 +36,8 @@
                                           std::uint32_t shard) const {
     const std::string key = group + '/' + std::to_string(shard);
     const auto chosen = choose_by_rendezvous(
-        key, group == fleet_group ? of_fleet_ : of_zone_, candidate_count);
+        key, group == fleet_group ? fleet_instances_ : zone_instances_,
+        candidate_count);
     return static_cast<std::uint32_t>(
         std::find(chosen.begin(), chosen.end(), self_) - chosen.begin());
 }
--- a/drivers/entry/rendezvous_candidates.hpp
+++ b/drivers/entry/rendezvous_candidates.hpp
@@ -8,11 +8,11 @@
 
 namespace savorydock {
 
-/// Ranks the living instances of a group by rendezvous hashing. Control
-/// thread only.
+/// Ranks the alive instances of a group by rendezvous hashing. Used on the
+/// control thread only.
 class rendezvous_candidates final : public holder_candidates {
 public:
-    /// Takes the instances that membership knows, this one included.
+    /// Sets the instances known to membership, including this one.
     void update(const instance_id& self, const availability_zone& zone,
                 const std::vector<known_instance>& instances);
 
@@ -22,8 +22,8 @@
 private:
     std::string self_;
     std::string zone_;
-    std::vector<std::string> of_zone_;
-    std::vector<std::string> of_fleet_;
+    std::vector<std::string> zone_instances_;
+    std::vector<std::string> fleet_instances_;
 };
 
 } // namespace savorydock
--- a/drivers/entry/status_json.hpp
+++ b/drivers/entry/status_json.hpp
@@ -14,7 +14,8 @@
 
 namespace savorydock {
 
-/// The JSON forms of what the operators' interface shows. Thread safe.
+/// Converts the state that the operators' interface reports to JSON. All
+/// overloads are thread safe.
 [[nodiscard]] boost::json::object to_json(const configuration_status& status);
 [[nodiscard]] boost::json::object to_json(const peer_counters& counters);
 [[nodiscard]] boost::json::object to_json(const explanation& found);
--- a/tests/drivers/entry/entry_executor_test.cpp
+++ b/tests/drivers/entry/entry_executor_test.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-class silent_transport final : public peer_transport {
+class null_transport final : public peer_transport {
 public:
     void send(const peer_message&, const endpoint&) override {}
     void on_message(message_handler) override {}
 };
 
-class silent_store final : public platform_store {
+class null_store final : public platform_store {
 public:
     void submit(const platform_request&, steady_time, reply_handler) override {}
 };
@@ -44,10 +44,11 @@
     }
     void TearDown() override { pool_.stop(); }
 
-    order_reply give(const endpoint& target, std::chrono::milliseconds left) {
+    order_reply execute(const endpoint& target,
+                        std::chrono::milliseconds left) {
         std::promise<order_reply> promise;
         auto reply = promise.get_future();
-        executor_.give_order(
+        executor_.execute_order(
             {.ticket = 7,
              .address = target,
              .path = "/v1/orders",
@@ -58,8 +59,8 @@
     }
 
     traffic_pool pool_{2};
-    silent_transport peers_;
-    silent_store platform_;
+    null_transport peers_;
+    null_store platform_;
     entry_executor executor_{pool_.context(0), peers_, platform_};
     std::optional<http_server> server_;
     endpoint address_;
@@ -75,24 +76,25 @@
     std::uint32_t requests;
 };
 
-TEST_F(entry_executor_test, order_replies_tell_what_the_upstream_can_know) {
+TEST_F(entry_executor_test,
+       order_reply_shows_whether_upstream_received_the_order) {
     using enum result_code;
     const order_row rows[] = {
         {"done", 200, 5s, ok, 1},
-        {"old number", 409, 5s, fencing_refused, 1},
+        {"old fencing number", 409, 5s, fencing_refused, 1},
         {"failed swap", 500, 5s, failed_by_upstream, 1},
         {"answer lost", 0, 5s, order_unknown, 1},
-        {"past its time", 200, -1ms, not_run_no_upstream, 0},
+        {"lease expired", 200, -1ms, not_run_no_upstream, 0},
     };
     for (const order_row& row : rows) {
         status_ = row.status;
         requests_ = 0;
-        const order_reply reply = give(address_, row.left);
+        const order_reply reply = execute(address_, row.left);
         EXPECT_EQ(reply.answer.reason().code, row.code) << row.name;
         EXPECT_EQ(reply.ticket, 7U) << row.name;
         EXPECT_EQ(requests_, row.requests) << row.name;
     }
-    EXPECT_EQ(give({"127.0.0.1", 1}, 5s).answer.reason().code,
+    EXPECT_EQ(execute({"127.0.0.1", 1}, 5s).answer.reason().code,
               not_run_no_upstream);
 }
 
