--- a/drivers/logging/log4cxx_logger.cpp
+++ b/drivers/logging/log4cxx_logger.cpp
@@ -39,7 +39,7 @@
 
 struct log4cxx_logger::state {
     log4cxx::LoggerPtr target;
-    /// Lines are "name=value" pairs from the first to the last field.
+    /// Every field of a line is a "name=value" pair.
     bool is_structured = false;
 };
 
@@ -65,8 +65,8 @@
 log4cxx_logger::log4cxx_logger(log_target, const std::string& level,
                                const std::string& instance)
     : state_(std::make_unique<state>()) {
-    // Lines that may wait for a slow reader; beyond them lines are dropped,
-    // and the appender says how many.
+    // Maximum number of lines buffered for a slow reader. Further lines are
+    // dropped, and the appender logs how many.
     constexpr int buffered_lines = 2'048;
     const auto console = std::make_shared<log4cxx::ConsoleAppender>(
         std::make_shared<log4cxx::PatternLayout>(
--- a/drivers/logging/log4cxx_logger.hpp
+++ b/drivers/logging/log4cxx_logger.hpp
@@ -9,20 +9,22 @@
 
 namespace savorydock {
 
-/// Where lines go that don't go to a file.
+/// Destinations of log lines other than a file.
 enum class log_target : std::uint8_t {
-    /// Lines "at=TIME level=LEVEL instance=NAME event=NUMBER name=NAME ..."
-    /// on the standard output, written by a thread of their own. A reader
-    /// that stalls costs lines, never time of the caller.
+    /// Writes lines "at=TIME level=LEVEL instance=NAME event=NUMBER name=NAME
+    /// ..." to the standard output on a separate thread. If the reader stalls,
+    /// lines are dropped; `write` never blocks.
     standard_output,
 };
 
-/// Writes events as lines "TIME LEVEL NUMBER name detail" by log4cxx.
+/// Writes events through log4cxx, by default as lines "TIME LEVEL INSTANCE
+/// NUMBER NAME DETAIL".
 /// Thread safe.
 class log4cxx_logger final : public logger {
 public:
-    /// `file` "-" is the standard error output; `level` is one of debug,
-    /// info, warning, error; `instance` names the process in each line.
+    /// Appends to `file`, or writes to the standard error output if it is "-".
+    /// `level` is one of debug, info, warning, error; `instance` appears in
+    /// each line.
     log4cxx_logger(const std::string& file, const std::string& level,
                    const std::string& instance);
     log4cxx_logger(log_target target, const std::string& level,
--- a/drivers/operator_http/command_result.hpp
+++ b/drivers/operator_http/command_result.hpp
@@ -6,7 +6,7 @@
 
 namespace savorydock {
 
-/// Exit codes of the operators' command, see docs/OPERATIONS.md.
+/// Exit codes of the `savorydock` command, see docs/OPERATIONS.md.
 enum class exit_code : int {
     ok = 0,
     failed = 1,
@@ -18,13 +18,14 @@
     not_found = 7,
 };
 
-/// Returns the exit code that tells a script about a result. Thread safe.
+/// Returns the exit code for a result. Thread safe.
 [[nodiscard]] exit_code exit_code_of(result_code code);
 
-/// Prints a reason to the standard error output; returns its exit code.
+/// Prints a failure to the standard error output; returns its exit code.
 exit_code fail_command(const failure& reason);
 
-/// Prints a fault of the command line.
+/// Prints a command line error to the standard error output; returns
+/// `exit_code::usage`.
 exit_code fail_usage(const std::string& text);
 
 } // namespace savorydock
--- a/drivers/operator_http/explain_text.cpp
+++ b/drivers/operator_http/explain_text.cpp
@@ -88,11 +88,11 @@
         }
         if (record.at("dropped").to_number<int>() > 0) {
             out << "  " << text_of(record, "dropped")
-                << " later decisions were not kept\n";
+                << " later decisions were dropped\n";
         }
     }
     if (records.empty()) {
-        out << "no record: it was never here, or it is gone\n";
+        out << "no record: the subject is unknown or its record has expired\n";
     }
     write_names(out, "answered:", found, "answered");
     write_names(out, "silent:", found, "silent");
--- a/drivers/operator_http/explain_text.hpp
+++ b/drivers/operator_http/explain_text.hpp
@@ -6,10 +6,11 @@
 
 namespace savorydock {
 
-/// A readable timeline of an explanation. Thread safe.
+/// Formats an explanation as a timeline for people to read. Precondition: an
+/// instance's response to /v1/explain. Thread safe.
 [[nodiscard]] std::string explanation_to_text(const boost::json::object& found);
 
-/// A readable form of an instance's status. Thread safe.
+/// Formats an instance's status for people to read. Thread safe.
 [[nodiscard]] std::string status_to_text(const boost::json::object& status);
 
 } // namespace savorydock
--- a/drivers/operator_http/operator_api.cpp
+++ b/drivers/operator_http/operator_api.cpp
@@ -40,9 +40,9 @@
     co_await send(exchange, http_status_of(code), std::move(body));
 }
 
-asio::awaitable<void>
-answer_later(http_exchange& exchange,
-             std::function<void(operator_services::answer_handler)> ask) {
+asio::awaitable<void> answer_from_control(
+    http_exchange& exchange,
+    std::function<void(operator_services::answer_handler)> ask) {
     const auto pending = std::make_shared<pending_answer<json::object>>(
         co_await asio::this_coro::executor);
     ask(pending->handler());
@@ -104,23 +104,23 @@
         co_return;
     }
     if (path == "/v1/status" && is_read) {
-        co_await answer_later(exchange, services.read_status);
+        co_await answer_from_control(exchange, services.read_status);
     } else if (path.starts_with(explain_path) && is_read) {
         const std::string subject(path.substr(explain_path.size()));
-        // Named, like all closures that are passed across a co_await: GCC 12
-        // copies a temporary one bit by bit and destroys both.
+        // Closures passed to a coroutine that is awaited need a named variable:
+        // GCC 12 copies a temporary closure bitwise and destroys both copies.
         std::function<void(operator_services::answer_handler)> ask =
             [&services, subject](auto answer) {
                 services.explain(subject, std::move(answer));
             };
-        co_await answer_later(exchange, std::move(ask));
+        co_await answer_from_control(exchange, std::move(ask));
     } else if (path.starts_with(clear_path) && !is_read) {
         const std::string subject(path.substr(clear_path.size()));
         std::function<void(operator_services::answer_handler)> ask =
             [&services, subject](auto answer) {
                 services.clear_suspect(subject, std::move(answer));
             };
-        co_await answer_later(exchange, std::move(ask));
+        co_await answer_from_control(exchange, std::move(ask));
     } else if (path == "/v1/drain" && !is_read) {
         co_await start_drain(exchange, services);
     } else {
--- a/drivers/operator_http/operator_api.hpp
+++ b/drivers/operator_http/operator_api.hpp
@@ -9,8 +9,9 @@
 
 namespace savorydock {
 
-/// What the operators' interface shows and does. The functions are called on
-/// I/O threads; those with a callback answer it exactly once, on any thread.
+/// The functions behind the HTTP interface for operators. They are called on
+/// I/O threads. Those with an `answer_handler` call it exactly once, on any
+/// thread.
 struct operator_services {
     using answer_handler = std::function<void(boost::json::object)>;
 
@@ -23,14 +24,14 @@
     std::function<bool()> is_ready;
 };
 
-/// The operators' interface:
+/// Returns a handler for the HTTP interface for operators:
 ///
-///   GET  /v1/ready               200 while new work is taken; needs no key
-///   GET  /v1/status              what this instance knows, with ages
+///   GET  /v1/ready               200 while new work is accepted; needs no key
+///   GET  /v1/status              state known to this instance, with its age
 ///   GET  /v1/explain/SUBJECT     decisions about a request, step or order
 ///   GET  /metrics                Prometheus text; needs no key
-///   POST /v1/drain               takes no new work and ends
-///   POST /v1/clear/FINGERPRINT   lets a held request run again
+///   POST /v1/drain               refuse new work, finish requests and exit
+///   POST /v1/clear/FINGERPRINT   allow a held request to run again
 ///
 /// `services` must outlive the handler.
 [[nodiscard]] http_handler make_operator_api(const operator_services& services);
--- a/drivers/operator_http/operator_command.cpp
+++ b/drivers/operator_http/operator_command.cpp
@@ -22,7 +22,7 @@
 
 constexpr unsigned status_ok = 200;
 
-/// One call of an instance's operators' interface.
+/// Calls the operators' interface of the first instance in the address list.
 outcome<json::object> ask_instance(const operator_command_line& line,
                                    std::string method, std::string target) {
     const auto addresses = parse_endpoints(line.operator_address);
@@ -44,7 +44,8 @@
     json::error_code error;
     const json::value body = json::parse(answer->body, error);
     if (error || !body.is_object()) {
-        return failure{result_code::invalid_json, "not an instance's answer"};
+        return failure{result_code::invalid_json,
+                       "the response is not a JSON object"};
     }
     if (answer->status != status_ok) {
         return failure{result_code::not_run_unauthorized,
@@ -148,7 +149,7 @@
 
 using subcommand = std::function<exit_code(const operator_command_line&)>;
 
-/// The one place where subcommands are registered.
+/// All subcommands by name; register new subcommands here.
 const std::map<std::string, subcommand>& subcommands() {
     static const std::map<std::string, subcommand> table{
         {"check", run_check},         {"publish", run_publish},
@@ -163,22 +164,22 @@
 } // namespace
 
 std::string operator_usage() {
-    return "publishes services and shows what the fleet does\n\n"
+    return "publishes services and inspects instances\n\n"
            "  savorydock check FILE...        check service files\n"
            "  savorydock diff FILE...         show what publish would change\n"
-           "  savorydock publish FILE...      put service files in force\n"
-           "  savorydock delete SERVICE       take a service out of force\n"
-           "  savorydock status               show what an instance knows\n"
-           "  savorydock explain REQUEST_ID   show why a request ended so\n"
-           "  savorydock clear FINGERPRINT    let a held request run again\n"
-           "  savorydock drain                end an instance gracefully\n"
+           "  savorydock publish FILE...      publish service files\n"
+           "  savorydock delete SERVICE       remove a service\n"
+           "  savorydock status               show the state of an instance\n"
+           "  savorydock explain REQUEST_ID   show decisions on a request\n"
+           "  savorydock clear FINGERPRINT    allow a held request to run\n"
+           "  savorydock drain                drain and stop an instance\n"
            "  savorydock reference TOPIC      list all codes or events\n"
            "  savorydock version              show the version\n\n"
-           "check, reference and version need no flag; publish, diff and "
+           "check, reference and version need no flags; publish, diff and "
            "delete need --platform; the "
            "others "
            "need\n--operator_address and --operator_key. --json prints JSON. "
-           "Exit codes: 0 done,\n1 failed, 2 usage, 3 invalid document, 4 "
+           "Exit codes: 0 success,\n1 failed, 2 usage, 3 invalid document, 4 "
            "conflict, 5 outcome unknown,\n6 unreachable, 7 not found.";
 }
 
--- a/drivers/operator_http/operator_command.hpp
+++ b/drivers/operator_http/operator_command.hpp
@@ -6,7 +6,7 @@
 
 namespace savorydock {
 
-/// The operators' command line as it was given.
+/// The parsed command line of the `savorydock` command.
 struct operator_command_line {
     /// The subcommand and its arguments.
     std::vector<std::string> arguments;
@@ -19,10 +19,10 @@
     std::chrono::seconds timeout{30};
 };
 
-/// What a newcomer reads with --help.
+/// Returns the usage text that --help prints.
 [[nodiscard]] std::string operator_usage();
 
-/// Runs one subcommand; prints to the standard streams. Returns the exit
+/// Runs one subcommand and prints to the standard streams. Returns the exit
 /// code, see docs/OPERATIONS.md. Blocks.
 [[nodiscard]] int run_operator_command(const operator_command_line& line);
 
--- a/drivers/operator_http/publish_command.cpp
+++ b/drivers/operator_http/publish_command.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// Who publishes: the flag, or the user of the shell.
+/// Returns the name recorded as publisher: --operator_name, or else $USER.
 std::string operator_of(const operator_command_line& line) {
     if (!line.operator_name.empty()) {
         return line.operator_name;
--- a/drivers/operator_http/publish_command.hpp
+++ b/drivers/operator_http/publish_command.hpp
@@ -5,14 +5,14 @@
 
 namespace savorydock {
 
-/// `publish FILE...`: puts service files in force; with --wait, until the
-/// instances named by --operator_address have them. Blocks.
+/// `publish FILE...`: publishes service files. With --wait, also waits until
+/// the instances listed in --operator_address use them. Blocks.
 [[nodiscard]] exit_code run_publish(const operator_command_line& line);
 
 /// `diff FILE...`: shows what `publish` would change. Blocks.
 [[nodiscard]] exit_code run_diff(const operator_command_line& line);
 
-/// `delete SERVICE`: takes a service out of force everywhere. Blocks.
+/// `delete SERVICE`: removes a service from all instances. Blocks.
 [[nodiscard]] exit_code run_delete(const operator_command_line& line);
 
 } // namespace savorydock
