--- a/main/savorydock.cpp
+++ b/main/savorydock.cpp
@@ -3,15 +3,17 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(operator_address, "",
-              "Operators' addresses of instances, separated by commas; all but "
-              "publish --wait ask the first");
-DEFINE_string(operator_key, "", "The operators' key of the deployment");
+              "Operator addresses of instances, separated by commas; all "
+              "commands except publish --wait use only the first");
+DEFINE_string(operator_key, "", "The operator key of the deployment");
 DEFINE_string(platform, "",
-              "Addresses of the platform's store, separated by commas");
-DEFINE_string(operator_name, "", "Who publishes; default is $USER");
+              "Addresses of the platform store, separated by commas");
+DEFINE_string(operator_name, "",
+              "Name recorded as the publisher; default is $USER");
 DEFINE_bool(json, false, "Print JSON instead of text");
-DEFINE_bool(wait, false, "publish: wait until the instances have it in force");
-DEFINE_int32(timeout_s, 30, "How long a command may take, in seconds");
+DEFINE_bool(wait, false,
+            "publish: wait until the instances use the published files");
+DEFINE_int32(timeout_s, 30, "Timeout of a command, in seconds");
 
 int main(int argc, char** argv) {
     gflags::SetUsageMessage(savorydock::operator_usage());
--- a/main/savorydock_entry.cpp
+++ b/main/savorydock_entry.cpp
@@ -9,7 +9,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "Settings file of the instance (JSON)");
-DEFINE_bool(check, false, "Check the settings and end");
+DEFINE_bool(check, false, "Check the settings and exit");
 
 namespace {
 
@@ -25,7 +25,7 @@
     return static_cast<int>(code);
 }
 
-/// Returns when a signal or an operator asks for the end.
+/// Blocks until SIGTERM, SIGINT or an operator requests a shutdown.
 void wait_for_end(const savorydock::entry_instance& instance) {
     constexpr std::chrono::milliseconds check_interval{100};
     boost::asio::io_context context(1);
--- a/main/savorydock_node.cpp
+++ b/main/savorydock_node.cpp
@@ -11,7 +11,7 @@
 #include <cstdlib>
 #include <iostream>
 
-DEFINE_bool(check, false, "Check the settings and end");
+DEFINE_bool(check, false, "Check the settings and exit");
 DEFINE_string(log_level, "info", "One of debug, info, warning, error");
 
 namespace {
@@ -28,8 +28,9 @@
     return static_cast<int>(code);
 }
 
-/// The role of a machine with a disk: what lasts lives in the platform's
-/// store, so there is nothing to do but to end in order.
+/// Runs the role `store`, that of a machine with a disk. All persistent state
+/// is in the platform's store, so the process only waits for SIGTERM or SIGINT
+/// and exits cleanly. SIGHUP is ignored.
 int run_store_role(savorydock::logger& log) {
     log.write(savorydock::log_event::instance_started, "role=store");
     boost::asio::io_context context(1);
--- a/tests/main/bad_input_test.cpp
+++ b/tests/main/bad_input_test.cpp
@@ -1,4 +1,5 @@
-// Every row of docs/BAD_INPUTS.md, sent to a whole instance in this process.
+// Sends every row of docs/BAD_INPUTS.md to a complete instance that runs in
+// this process.
 #include "drivers/entry/entry_instance.hpp"
 #include "drivers/http/http_client.hpp"
 #include "drivers/platform_kv/publisher.hpp"
@@ -111,7 +112,8 @@
         EXPECT_EQ(answer->status, 200U);
     }
 
-    /// Sends bytes as they are and returns all that comes back.
+    /// Sends raw bytes and returns everything received until the connection is
+    /// closed.
     std::string send_raw(const std::string& bytes) {
         asio::io_context context;
         asio::ip::tcp::socket socket(context);
@@ -177,19 +179,19 @@
         {"non-idempotent call without a key",
          post("/v1/services/plain/write", "x"), 400,
          result_code::not_run_key_required},
-        {"idempotency key of bad characters",
+        {"idempotency key with invalid characters",
          post("/v1/services/plain/write", "x",
               {{"Idempotency-Key", "a b"}, {"Savorydock-Attempt", "1"}}),
          400, result_code::not_run_bad_request},
-        // An earlier sending of the key may have run, which no caller must
-        // read "not run" of.
-        {"the same without an attempt",
+        // Without an attempt number, an earlier attempt with this key may have
+        // run, so the result must not say "not run".
+        {"invalid idempotency key without an attempt",
          post("/v1/services/plain/write", "x", {{"Idempotency-Key", "a b"}}),
          503, result_code::unknown_earlier_sending},
-        {"attempt that is no number",
+        {"attempt that is not a number",
          post("/v1/services/plain/read", "x", {{"Savorydock-Attempt", "one"}}),
          400, result_code::not_run_bad_request},
-        {"deadline that is no number",
+        {"deadline that is not a positive number",
          post("/v1/services/plain/read", "x",
               {{"Savorydock-Deadline-Ms", "-5"}}),
          400, result_code::not_run_bad_request},
@@ -213,7 +215,7 @@
     expect_served();
 }
 
-TEST_F(bad_input_test, slow_caller_is_closed_and_harms_nobody) {
+TEST_F(bad_input_test, slow_caller_is_disconnected_and_others_are_served) {
     std::thread slow(
         [this] { EXPECT_EQ(send_raw("POST / HTTP/1.1\r\n"), ""); });
     expect_served();
@@ -221,7 +223,7 @@
     expect_served();
 }
 
-TEST_F(bad_input_test, operators_without_the_key_learn_nothing) {
+TEST_F(bad_input_test, operator_requests_without_the_key_are_refused) {
     for (const char* const path : {"/v1/status", "/v1/explain/x"}) {
         const auto answer =
             call_blocking(instance_->operator_address(), {.target = path}, 5s);
@@ -236,9 +238,10 @@
     EXPECT_FALSE(instance_->is_drain_wanted());
 }
 
-TEST_F(bad_input_test, operators_with_the_key_are_answered_again_and_again) {
-    // A long subject, so that its text is not kept in the object itself, and a
-    // short one.
+TEST_F(bad_input_test, repeated_operator_requests_with_the_key_are_answered) {
+    // One subject too long for the small string optimization and one short
+    // enough for it; they must survive as captures, see the note on closures in
+    // operator_api.cpp.
     for (const std::string& subject :
          {std::string(100, 'x'), std::string("x")}) {
         for (const char* const path : {"/v1/explain/", "/v1/clear/"}) {
@@ -262,7 +265,7 @@
         << metrics->body;
 }
 
-TEST_F(bad_input_test, drain_lets_the_running_call_end) {
+TEST_F(bad_input_test, drain_waits_for_the_running_call) {
     service_.set_faults({.delay = 700ms});
     std::thread caller([this] {
         const auto answer =
--- a/tests/main/configuration_process_test.cpp
+++ b/tests/main/configuration_process_test.cpp
@@ -1,4 +1,5 @@
-// Nine instances as processes, published to by the operators' command.
+// Runs nine instances as processes and publishes configuration to them with the
+// `savorydock` command.
 #include "core/endpoint.hpp"
 #include "drivers/http/http_client.hpp"
 #include "servers/configuration/service_envelope.hpp"
@@ -116,7 +117,7 @@
         return list;
     }
 
-    /// The operators' publish, which waits for all running instances.
+    /// Starts `savorydock publish --wait` for all running instances.
     std::unique_ptr<child_process> begin_publish(const std::string& name,
                                                  const std::string& file) {
         return std::make_unique<child_process>(
@@ -129,13 +130,14 @@
 
     int publish(const std::string& name, const std::string& file) {
         const auto command = begin_publish(name, file);
-        const std::string said = command->read_all();
+        const std::string output = command->read_all();
         const int code = command->wait();
-        EXPECT_EQ(code, 0) << said;
+        EXPECT_EQ(code, 0) << output;
         return code;
     }
 
-    /// The revision that an instance serves; 0 if it does not serve.
+    /// Returns the revision that an instance uses; 0 if the instance is not
+    /// ready or lacks the service.
     [[nodiscard]] store_revision revision_at(std::size_t i,
                                              const std::string& service) const {
         const auto answer =
@@ -182,10 +184,12 @@
     std::array<std::string, instance_count> operators_;
 };
 
-TEST_F(configuration_process_test, slow_platform_publish_reaches_all_nine) {
+TEST_F(configuration_process_test,
+       publish_with_slow_platform_reaches_all_nine) {
     start_all();
     platform_.add_fault({.delay = 1s});
-    // The first one may still meet calls that began before the fault.
+    // During the first publish, platform calls may be in flight that began
+    // before the delay was added.
     for (int mark = 1; mark <= 3; ++mark) {
         const std::string file = write_service("depth", mark);
         const auto begun = std::chrono::steady_clock::now();
@@ -203,7 +207,7 @@
 }
 
 TEST_F(configuration_process_test,
-       lost_answer_and_watch_gap_still_end_accepted) {
+       publish_succeeds_despite_lost_answer_and_watch_gap) {
     start_all();
     publish("ann", write_service("depth", 1));
     platform_.add_fault(
@@ -219,25 +223,26 @@
 }
 
 TEST_F(configuration_process_test,
-       two_operators_one_wins_two_services_are_kept) {
+       concurrent_publishes_conflict_only_on_the_same_service) {
     start_all();
     publish("ann", write_service("depth", 1));
-    // Both read before either writes.
+    // The delay makes both commands read before either one writes.
     platform_.add_fault({.operation = "txn", .delay = 1s, .count = 2});
     auto bob = begin_publish("bob", write_service("depth", 2));
     auto cid = begin_publish("cid", write_service("depth", 3));
-    const std::string bob_said = bob->read_all();
-    const std::string cid_said = cid->read_all();
+    const std::string bob_output = bob->read_all();
+    const std::string cid_output = cid->read_all();
     const int bob_code = bob->wait();
     const int cid_code = cid->wait();
     constexpr int conflict = 4;
     EXPECT_EQ(std::min(bob_code, cid_code), 0);
     EXPECT_EQ(std::max(bob_code, cid_code), conflict);
     const bool is_bob_winner = bob_code == 0;
-    const std::string& loser_said = is_bob_winner ? cid_said : bob_said;
-    EXPECT_NE(loser_said.find(is_bob_winner ? "bob" : "cid"), std::string::npos)
-        << loser_said;
-    EXPECT_NE(loser_said.find("queue_length"), std::string::npos);
+    const std::string& loser_output = is_bob_winner ? cid_output : bob_output;
+    EXPECT_NE(loser_output.find(is_bob_winner ? "bob" : "cid"),
+              std::string::npos)
+        << loser_output;
+    EXPECT_NE(loser_output.find("queue_length"), std::string::npos);
     auto first = begin_publish("bob", write_service("depth", 4));
     auto second = begin_publish("cid", write_service("other", 1));
     EXPECT_EQ(first->wait(), 0);
@@ -247,7 +252,7 @@
 }
 
 TEST_F(configuration_process_test,
-       restart_with_platform_out_starts_from_peers) {
+       restart_during_platform_outage_loads_from_peers) {
     start_all();
     publish("ann", write_service("depth", 1));
     publish("ann", write_service("depth", 2));
--- a/tests/main/order_process_test.cpp
+++ b/tests/main/order_process_test.cpp
@@ -20,7 +20,8 @@
 
 } // namespace
 
-/// Two instances as processes, two engines of which one ignores fencing.
+/// Runs two instances as processes, and two engines: one checks the fencing
+/// number of orders, the other ignores it.
 class order_process_test : public ::testing::Test {
 protected:
     void SetUp() override {
@@ -28,8 +29,9 @@
                   ("order_process_test." + std::to_string(getpid()));
         std::filesystem::create_directories(folder_);
         platform_address_ = to_text(*platform_.listen({"127.0.0.1", 0}));
-        checks_address_ = to_text(*checks_.listen({"127.0.0.1", 0}));
-        ignores_address_ = to_text(*ignores_.listen({"127.0.0.1", 0}));
+        fencing_address_ = to_text(*fencing_engine_.listen({"127.0.0.1", 0}));
+        non_fencing_address_ =
+            to_text(*non_fencing_engine_.listen({"127.0.0.1", 0}));
         peers_ = {local(find_free_port()), local(find_free_port())};
         for (const std::size_t i : {0U, 1U}) {
             write("i" + std::to_string(i), settings_of(i));
@@ -70,7 +72,7 @@
             "orders": {"lease_seconds": 4, "longest_order_ms": 3000}})";
     }
 
-    /// Publishes a target version by the operators' command.
+    /// Publishes a target version with the `savorydock` command.
     void publish(weight_version version) {
         write("m", R"({"service": "m", "kind": "model",
             "classes": [{"name": "c"}],
@@ -78,10 +80,10 @@
             "upstreams": [
               {"name": "checks", "zone": "a", "checks_fencing": true,
                "address": ")" +
-                       checks_address_ +
+                       fencing_address_ +
                        R"("},
               {"name": "ignores", "zone": "a", "address": ")" +
-                       ignores_address_ + R"("}],
+                       non_fencing_address_ + R"("}],
             "weights": {"version": )" +
                        std::to_string(version) + "}}");
         child_process command(std::string(SAVORYDOCK_BINARY_DIR) + "/bin",
@@ -91,15 +93,16 @@
         ASSERT_EQ(command.wait(), 0);
     }
 
-    /// Waits for a condition; versions must not fall meanwhile.
+    /// Waits for a condition and expects that no engine's version decreases
+    /// meanwhile.
     bool wait_for(const std::function<bool()>& condition) {
         weight_version first = 0;
         weight_version second = 0;
         for (int i = 0; i < 800; ++i) {
-            EXPECT_GE(checks_.version(), first);
-            EXPECT_GE(ignores_.version(), second);
-            first = checks_.version();
-            second = ignores_.version();
+            EXPECT_GE(fencing_engine_.version(), first);
+            EXPECT_GE(non_fencing_engine_.version(), second);
+            first = fencing_engine_.version();
+            second = non_fencing_engine_.version();
             if (condition()) {
                 return true;
             }
@@ -109,8 +112,8 @@
     }
     bool wait_for_version(weight_version version) {
         return wait_for([&] {
-            return checks_.version() == version &&
-                   ignores_.version() == version;
+            return fencing_engine_.version() == version &&
+                   non_fencing_engine_.version() == version;
         });
     }
     [[nodiscard]] std::string holder() const {
@@ -120,16 +123,17 @@
 
     std::filesystem::path folder_;
     fake_platform platform_;
-    fake_engine checks_{7, {}};
-    fake_engine ignores_{7, {.ignores_fencing = true}};
+    fake_engine fencing_engine_{7, {}};
+    fake_engine non_fencing_engine_{7, {.ignores_fencing = true}};
     std::string platform_address_;
-    std::string checks_address_;
-    std::string ignores_address_;
+    std::string fencing_address_;
+    std::string non_fencing_address_;
     std::array<std::string, 2> peers_;
     std::array<std::unique_ptr<child_process>, 2> instances_;
 };
 
-TEST_F(order_process_test, stopped_holder_is_replaced_and_does_no_harm) {
+TEST_F(order_process_test,
+       stopped_holder_is_replaced_and_versions_never_decrease) {
     publish(8);
     ASSERT_TRUE(wait_for_version(8));
     const std::string first = holder();
@@ -148,28 +152,28 @@
     EXPECT_EQ(holder(), second);
 }
 
-TEST_F(order_process_test, orders_stop_without_a_lease_and_come_back) {
+TEST_F(order_process_test, orders_stop_without_a_lease_and_resume_with_one) {
     publish(8);
     ASSERT_TRUE(wait_for_version(8));
     platform_.add_fault({.operation = "lease", .refuse = true});
-    // Longer than the lease, which the platform ends by itself.
+    // Longer than the lease, so that it expires on the platform.
     std::this_thread::sleep_for(6s);
-    // Configuration still spreads, but nobody may order.
+    // Configuration still spreads, but no instance may send orders.
     publish(9);
     std::this_thread::sleep_for(4s);
     EXPECT_TRUE(holder().empty());
-    EXPECT_EQ(checks_.version(), 8U);
-    EXPECT_EQ(ignores_.version(), 8U);
+    EXPECT_EQ(fencing_engine_.version(), 8U);
+    EXPECT_EQ(non_fencing_engine_.version(), 8U);
     platform_.clear_faults();
     EXPECT_TRUE(wait_for_version(9));
 }
 
-TEST_F(order_process_test, platform_outage_ends_with_the_newest_version) {
+TEST_F(order_process_test, newest_version_is_reached_after_platform_outage) {
     publish(8);
     ASSERT_TRUE(wait_for_version(8));
     platform_.add_fault({.refuse = true});
     std::this_thread::sleep_for(6s);
-    EXPECT_EQ(checks_.version(), 8U);
+    EXPECT_EQ(fencing_engine_.version(), 8U);
     platform_.clear_faults();
     publish(9);
     EXPECT_TRUE(wait_for_version(9));
