--- a/tests/fakes/child_process.cpp
+++ b/tests/fakes/child_process.cpp
@@ -23,18 +23,18 @@
         arguments.push_back(flag.data());
     }
     arguments.push_back(nullptr);
-    std::array<int, 2> ends{};
-    if (pipe2(ends.data(), O_CLOEXEC) != 0) {
-        throw std::runtime_error("no pipe");
+    std::array<int, 2> pipe_ends{};
+    if (pipe2(pipe_ends.data(), O_CLOEXEC) != 0) {
+        throw std::runtime_error("can't create a pipe");
     }
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
+    posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDOUT_FILENO);
     const int error = posix_spawn(&pid_, path.c_str(), &actions, nullptr,
                                   arguments.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
-    close(ends[1]);
-    output_ = ends[0];
+    close(pipe_ends[1]);
+    output_ = pipe_ends[0];
     if (error != 0) {
         close(output_);
         throw std::runtime_error("can't start " + path);
@@ -64,9 +64,9 @@
     const auto end = std::chrono::steady_clock::now() + limit;
     while (true) {
         std::size_t line_end = 0;
-        while ((line_end = read_.find('\n')) != std::string::npos) {
-            const std::string line = read_.substr(0, line_end);
-            read_.erase(0, line_end + 1);
+        while ((line_end = unread_.find('\n')) != std::string::npos) {
+            const std::string line = unread_.substr(0, line_end);
+            unread_.erase(0, line_end + 1);
             if (line.starts_with(prefix)) {
                 return line;
             }
@@ -83,7 +83,7 @@
         if (count <= 0) {
             return {};
         }
-        read_.append(bytes.data(), static_cast<std::size_t>(count));
+        unread_.append(bytes.data(), static_cast<std::size_t>(count));
     }
 }
 
@@ -91,23 +91,23 @@
     std::array<char, 4096> bytes{};
     ssize_t count = 0;
     while ((count = read(output_, bytes.data(), bytes.size())) > 0) {
-        read_.append(bytes.data(), static_cast<std::size_t>(count));
+        unread_.append(bytes.data(), static_cast<std::size_t>(count));
     }
-    return std::exchange(read_, {});
+    return std::exchange(unread_, {});
 }
 
 namespace {
 
-/// Ports below the range from which the system takes those of connections
-/// (32768 on Linux), so that no connection of another test takes one between
-/// the choice and the listening.
+/// Below the ephemeral port range (from 32768 on Linux), so that an outgoing
+/// connection of another test can't take the port before the caller listens.
 constexpr std::uint16_t first_port = 20'000;
 constexpr std::uint16_t port_count = 12'000;
 
 } // namespace
 
 std::uint16_t find_free_port() {
-    // Processes begin at different ports; one process never repeats itself.
+    // Each process starts at another port and counts up, so that parallel
+    // tests rarely try the same port and one process doesn't reuse a port.
     static std::uint32_t next = static_cast<std::uint32_t>(getpid()) * 37U;
     for (std::uint32_t tries = 0; tries < port_count; ++tries) {
         const auto port =
--- a/tests/fakes/child_process.hpp
+++ b/tests/fakes/child_process.hpp
@@ -8,11 +8,12 @@
 
 namespace savorydock {
 
-/// A program of the build as a process of its own, killed with the object.
-/// Its standard output is kept. Not thread safe.
+/// Runs a program of the build as a child process and captures its standard
+/// output. The destructor kills the process. Not thread safe.
 class child_process {
 public:
-    /// Starts a program of the build's folder `bin`.
+    /// Starts `program` from the folder `bin`. Throws std::runtime_error if it
+    /// can't be started.
     child_process(const std::string& bin, const std::string& program,
                   std::vector<std::string> flags);
     ~child_process();
@@ -23,24 +24,26 @@
 
     [[nodiscard]] pid_t pid() const { return pid_; }
 
-    /// Waits for its end; returns the exit code, -1 if a signal ended it.
+    /// Waits until the process exits. Returns its exit code, or -1 if a signal
+    /// ended it.
     int wait();
 
-    /// Reads lines of its output until one begins with `prefix`; returns that
-    /// line, or an empty text if there is none in time.
+    /// Reads output lines until one starts with `prefix`. Returns that line, or
+    /// an empty string if `limit` passes or the output ends first.
     [[nodiscard]] std::string wait_for_line(const std::string& prefix,
                                             std::chrono::milliseconds limit);
 
-    /// What it has printed and was not read yet. Reads up to its end.
+    /// Returns all output not read yet. Blocks until the process closes its
+    /// output.
     [[nodiscard]] std::string read_all();
 
 private:
     pid_t pid_ = 0;
     int output_ = -1;
-    std::string read_;
+    std::string unread_;
 };
 
-/// A port of 127.0.0.1 that was free a moment ago.
+/// Returns a port of 127.0.0.1 that was free when it was checked.
 [[nodiscard]] std::uint16_t find_free_port();
 
 } // namespace savorydock
--- a/tests/fakes/fake_engine.cpp
+++ b/tests/fakes/fake_engine.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::int64_t default_tokens = 16;
-constexpr std::int64_t most_tokens = 100'000;
-constexpr integer_range token_range{1, most_tokens};
+constexpr std::int64_t max_token_count = 100'000;
+constexpr integer_range token_range{1, max_token_count};
 constexpr integer_range any_number{0, std::int64_t{1} << 60};
 constexpr std::string_view stream_path = "/v1/streams/";
 
@@ -118,7 +118,7 @@
     }
 }
 
-bool fake_engine::take_cut(std::uint32_t position) {
+bool fake_engine::consume_cut(std::uint32_t position) {
     const std::lock_guard lock(mutex_);
     if (faults_.cut_after == 0 || faults_.cut_count == 0 ||
         position != faults_.cut_after) {
@@ -128,7 +128,7 @@
     return true;
 }
 
-bool fake_engine::take_cancel(const std::string& id) {
+bool fake_engine::consume_cancel(const std::string& id) {
     const std::lock_guard lock(mutex_);
     return cancelled_.erase(id) > 0;
 }
@@ -168,7 +168,7 @@
             event["version"] = version();
         }
         is_open = co_await exchange.write_chunk(to_event(std::move(event))) &&
-                  !take_cut(i + 1) && !take_cancel(call->id);
+                  !consume_cut(i + 1) && !consume_cancel(call->id);
     }
     {
         const std::lock_guard lock(mutex_);
@@ -194,28 +194,28 @@
         co_return;
     }
     object_reader reader(*parsed, "", faults);
-    const auto wanted =
+    const auto target_version =
         static_cast<weight_version>(reader.integer("version", any_number));
     const auto fencing =
         static_cast<fencing_number>(reader.integer("fencing", any_number, 0));
-    bool is_old = false;
+    bool is_outdated = false;
     bool is_failing = false;
-    bool is_answer_lost = false;
+    bool is_response_lost = false;
     std::chrono::milliseconds time{0};
     {
         const std::lock_guard lock(mutex_);
-        is_old = !faults_.ignores_fencing && fencing < fencing_;
-        if (!is_old) {
+        is_outdated = !faults_.ignores_fencing && fencing < fencing_;
+        if (!is_outdated) {
             fencing_ = std::max(fencing_, fencing);
-            loading_ = wanted;
+            loading_ = target_version;
             is_failing = faults_.failing_swaps > 0;
             faults_.failing_swaps -= is_failing ? 1 : 0;
-            is_answer_lost = faults_.lost_order_answers > 0;
-            faults_.lost_order_answers -= is_answer_lost ? 1 : 0;
+            is_response_lost = faults_.lost_order_answers > 0;
+            faults_.lost_order_answers -= is_response_lost ? 1 : 0;
         }
         time = is_failing ? faults_.swap_time / 2 : faults_.swap_time;
     }
-    if (is_old) {
+    if (is_outdated) {
         json::object seen{{"fencing", fencing_}};
         co_await send_json(exchange, 409, std::move(seen));
         co_return;
@@ -223,10 +223,10 @@
     co_await sleep_for(time);
     {
         const std::lock_guard lock(mutex_);
-        version_ = is_failing ? version_ : wanted;
+        version_ = is_failing ? version_ : target_version;
         loading_ = 0;
     }
-    if (is_answer_lost) {
+    if (is_response_lost) {
         co_return;
     }
     if (is_failing) {
--- a/tests/fakes/fake_engine.hpp
+++ b/tests/fakes/fake_engine.hpp
@@ -13,43 +13,45 @@
 
 namespace savorydock {
 
-/// Faults of a fake engine; set at start or by POST /faults.
+/// Injected faults of a fake engine, set at start or by POST /faults.
 struct engine_faults {
-    /// A prompt that contains this text ends the process.
+    /// The process exits when a prompt contains this text.
     std::string crash_on;
-    /// Streams are cut after this many tokens, `cut_count` times; 0 is never.
+    /// The next `cut_count` streams that reach this many tokens are
+    /// disconnected there; 0 disables it.
     std::uint32_t cut_after = 0;
     std::uint32_t cut_count = 0;
-    /// Events carry no version.
+    /// Token events carry no weight version.
     bool has_no_version = false;
-    /// Swaps fail after half their time, this many times.
+    /// This many swaps fail after half of `swap_time`.
     std::uint32_t failing_swaps = 0;
     bool ignores_fencing = false;
     bool is_leaving = false;
-    /// An order takes effect but its answer is lost, this many times.
+    /// This many orders take effect without sending a response.
     std::uint32_t lost_order_answers = 0;
     std::chrono::milliseconds token_delay{2};
     std::chrono::milliseconds swap_time{50};
 };
 
-/// A stand-in for a model engine: completions as server-sent events, resume,
-/// cancel, orders, load. The token at a position depends on prompt and seed
-/// only, so that a resumed answer can be compared with a whole one.
+/// A test double for a model engine. It supports completions as server-sent
+/// events, resuming, cancelling, orders to load weights, and load reports. A
+/// token depends only on the prompt, the seed and its position, so a resumed
+/// completion can be compared with an uninterrupted one.
 ///
-/// Thread safe. Runs on a pool of its own.
+/// Thread safe. Runs on its own thread pool.
 class fake_engine {
 public:
     fake_engine(weight_version version, engine_faults faults);
 
     [[nodiscard]] outcome<endpoint> listen(const endpoint& address);
 
-    /// The token at a position of the answer to a prompt.
+    /// The token at `position` of the completion of `prompt`.
     [[nodiscard]] static std::string token_at(const std::string& prompt,
                                               std::uint32_t seed,
                                               std::uint32_t position);
 
     [[nodiscard]] weight_version version() const;
-    /// How often each prompt was begun.
+    /// The number of completions started for each prompt.
     [[nodiscard]] std::map<std::string, std::uint32_t> begun() const;
     void set_faults(const engine_faults& faults);
 
@@ -62,8 +64,8 @@
     task send_state(http_exchange& exchange);
     task cancel(http_exchange& exchange);
     task change_faults(http_exchange& exchange);
-    bool take_cut(std::uint32_t position);
-    bool take_cancel(const std::string& id);
+    bool consume_cut(std::uint32_t position);
+    bool consume_cancel(const std::string& id);
 
     mutable std::mutex mutex_;
     weight_version version_;
--- a/tests/fakes/fake_engine_main.cpp
+++ b/tests/fakes/fake_engine_main.cpp
@@ -5,9 +5,11 @@
 
 DEFINE_string(listen, "127.0.0.1:0", "Address to listen on");
 DEFINE_uint64(weights, 1, "Weight version at start");
-DEFINE_uint64(token_delay_ms, 2, "Time a token takes");
-DEFINE_string(crash_on, "", "A prompt with this text ends the process");
-DEFINE_bool(ignores_fencing, false, "Whether old fencing numbers are taken");
+DEFINE_uint64(token_delay_ms, 2, "Time to generate one token, in milliseconds");
+DEFINE_string(crash_on, "",
+              "The process exits when a prompt contains this text");
+DEFINE_bool(ignores_fencing, false,
+            "Whether to accept orders with outdated fencing numbers");
 
 int main(int argc, char** argv) {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
-constexpr std::chrono::milliseconds watch_poll{5};
+constexpr std::chrono::milliseconds watch_poll_interval{5};
 constexpr unsigned status_bad_request = 400;
 constexpr unsigned status_not_found = 404;
 constexpr unsigned status_unavailable = 503;
@@ -130,7 +130,7 @@
     store_.compact(revision);
 }
 
-platform_fault fake_platform::take_fault(const std::string& operation) {
+platform_fault fake_platform::consume_fault(const std::string& operation) {
     const std::lock_guard lock(mutex_);
     for (auto fault = faults_.begin(); fault != faults_.end(); ++fault) {
         if (fault->operation != "*" && fault->operation != operation) {
@@ -151,7 +151,7 @@
         co_await handle_call(exchange, operation);
         co_return;
     }
-    co_await exchange.respond(administer(exchange.request()));
+    co_await exchange.respond(handle_control_request(exchange.request()));
 }
 
 asio::awaitable<void> fake_platform::handle_call(http_exchange& exchange,
@@ -161,7 +161,7 @@
         ++counts_[operation];
         ++counts_["*"];
     }
-    const platform_fault fault = take_fault(operation);
+    const platform_fault fault = consume_fault(operation);
     if (fault.refuse) {
         co_await sleep_for(fault.delay);
         co_await exchange.respond(error_response(status_unavailable, "out"));
@@ -171,22 +171,22 @@
         co_await stream_changes(exchange, fault);
         co_return;
     }
-    // Half of a slow call's time passes before it takes effect.
+    // Half of the delay passes before the call takes effect, half after it.
     co_await sleep_for(fault.delay / 2);
     http_response response =
-        carry_out(exchange.request().path(), exchange.request().body);
+        execute(exchange.request().path(), exchange.request().body);
     co_await sleep_for(fault.delay - fault.delay / 2);
     if (!fault.drop_answer_after_effect) {
         co_await exchange.respond(std::move(response));
     }
 }
 
-http_response fake_platform::carry_out(std::string_view path,
-                                       const std::string& body) {
+http_response fake_platform::execute(std::string_view path,
+                                     const std::string& body) {
     const std::lock_guard lock(mutex_);
     try {
         const json::value parsed = json::parse(body);
-        const auto answer = carry_out_gateway_call(
+        const auto answer = execute_gateway_call(
             store_, path, parsed.as_object(), current_time());
         if (!answer) {
             return error_response(status_not_found, "Not Found");
@@ -225,7 +225,7 @@
             message = gateway_watch_events(store_, changes);
         }
         if (changes.empty()) {
-            co_await sleep_for(watch_poll);
+            co_await sleep_for(watch_poll_interval);
             continue;
         }
         if (fault.drop_answer_after_effect) {
@@ -241,7 +241,8 @@
     co_await exchange.end_stream();
 }
 
-http_response fake_platform::administer(const http_request& request) {
+http_response
+fake_platform::handle_control_request(const http_request& request) {
     const std::lock_guard lock(mutex_);
     if (request.path() == "/counts") {
         json::object counts;
--- a/tests/fakes/fake_platform.hpp
+++ b/tests/fakes/fake_platform.hpp
@@ -16,26 +16,27 @@
 
 namespace savorydock {
 
-/// What goes wrong with calls of one kind. `operation` is range, txn, lease,
-/// watch or * for all.
+/// An injected fault. `operation` selects the calls that it affects: range,
+/// txn, lease, watch, or * for all.
 struct platform_fault {
     std::string operation = "*";
     std::chrono::milliseconds delay{0};
-    /// The call takes effect and the connection is then reset.
+    /// The call takes effect, but the connection is then reset without a
+    /// response.
     bool drop_answer_after_effect = false;
-    /// The call is refused with status 503 and has no effect.
+    /// The call is rejected with status 503 and has no effect.
     bool refuse = false;
-    /// A watch passes over the changes it should tell next, then ends.
+    /// A watch skips the changes it would send next and ends its stream.
     bool gap = false;
-    /// How many calls it strikes; 0 means all.
+    /// The number of calls affected; 0 means all.
     std::uint32_t count = 0;
 };
 
-/// A stand-in for the platform's store: the JSON gateway form of the etcd v3
-/// API over HTTP, with faults that are set while it runs:
+/// A test double for the platform's store. It serves the JSON gateway form of
+/// the etcd v3 API over HTTP. Faults can be set while it runs:
 ///
-///     POST /faults     one fault, or a list that replaces all
-///     GET  /counts     calls by kind since the start
+///     POST /faults     adds one fault, or replaces all by a list
+///     GET  /counts     number of calls by operation since the start
 ///
 /// All methods are thread safe.
 class fake_platform {
@@ -45,20 +46,23 @@
     fake_platform(const fake_platform&) = delete;
     fake_platform& operator=(const fake_platform&) = delete;
 
-    /// Serves; port 0 takes any free port. Errors: `invalid_settings`.
+    /// Starts serving; port 0 selects any free port. Errors:
+    /// `invalid_settings`.
     [[nodiscard]] outcome<endpoint> listen(const endpoint& address);
 
-    /// Adds a fault. Of several that fit a call the first one strikes.
+    /// Adds a fault. The first of several faults that match a call applies.
     void add_fault(platform_fault fault);
     void clear_faults();
 
-    /// Calls of a kind since the start, "*" for all. A watch counts as one.
+    /// The number of calls of an operation since the start, "*" for all. A
+    /// watch counts as one call.
     [[nodiscard]] std::uint64_t calls(const std::string& operation) const;
 
-    /// A direct look at the store, around all faults.
+    /// Reads the store directly, bypassing all faults.
     [[nodiscard]] std::optional<stored_value>
     find(const std::string& key) const;
-    /// A direct write, around all faults. Returns its revision.
+    /// Writes to the store directly, bypassing all faults. Returns the revision
+    /// of the write.
     store_revision put(const std::string& key, const std::string& value);
     void compact(store_revision revision);
 
@@ -68,9 +72,9 @@
                                              const std::string& operation);
     boost::asio::awaitable<void> stream_changes(http_exchange& exchange,
                                                 const platform_fault& fault);
-    http_response administer(const http_request& request);
-    http_response carry_out(std::string_view path, const std::string& body);
-    platform_fault take_fault(const std::string& operation);
+    http_response handle_control_request(const http_request& request);
+    http_response execute(std::string_view path, const std::string& body);
+    platform_fault consume_fault(const std::string& operation);
 
     mutable std::mutex mutex_;
     fake_platform_store store_;
--- a/tests/fakes/fake_platform_gateway.cpp
+++ b/tests/fakes/fake_platform_gateway.cpp
@@ -97,7 +97,8 @@
     throw std::invalid_argument("target " + target);
 }
 
-bool holds(const fake_platform_store& store, const json::object& compare) {
+bool is_condition_met(const fake_platform_store& store,
+                      const json::object& compare) {
     const auto found = store.find(bytes_of(compare, "key"));
     std::uint64_t wanted = 0;
     const std::uint64_t actual =
@@ -126,8 +127,8 @@
     return {{"deleted", std::to_string(store.erase(range_of(body)))}};
 }
 
-json::object carry_out_operation(fake_platform_store& store,
-                                 const json::object& operation) {
+json::object execute_operation(fake_platform_store& store,
+                               const json::object& operation) {
     if (const auto* put = operation.if_contains("request_put")) {
         return {{"response_put", put_key(store, put->as_object())}};
     }
@@ -142,7 +143,8 @@
 json::object transact(fake_platform_store& store, const json::object& body) {
     bool has_succeeded = true;
     for (const json::value& compare : body.at("compare").as_array()) {
-        has_succeeded = has_succeeded && holds(store, compare.as_object());
+        has_succeeded =
+            has_succeeded && is_condition_met(store, compare.as_object());
     }
     const json::value* const branch =
         body.if_contains(has_succeeded ? "success" : "failure");
@@ -151,7 +153,7 @@
     if (branch != nullptr) {
         for (const json::value& operation : branch->as_array()) {
             responses.push_back(
-                carry_out_operation(store, operation.as_object()));
+                execute_operation(store, operation.as_object()));
         }
     }
     store.commit();
@@ -203,10 +205,10 @@
 
 } // namespace
 
-std::optional<json::object> carry_out_gateway_call(fake_platform_store& store,
-                                                   std::string_view path,
-                                                   const json::object& body,
-                                                   steady_time now) {
+std::optional<json::object> execute_gateway_call(fake_platform_store& store,
+                                                 std::string_view path,
+                                                 const json::object& body,
+                                                 steady_time now) {
     store.expire(now);
     if (path == "/v3/kv/range") {
         return read_keys(store, body);
@@ -243,9 +245,9 @@
 }
 
 json::object gateway_watch_created(const fake_platform_store& store,
-                                   const fake_watch& asked) {
+                                   const fake_watch& watch) {
     json::object result{{"header", header_of(store)}, {"created", true}};
-    if (asked.start <= store.compacted()) {
+    if (watch.start <= store.compacted()) {
         result["canceled"] = true;
         set_number(result, "compact_revision", store.compacted());
     }
--- a/tests/fakes/fake_platform_gateway.hpp
+++ b/tests/fakes/fake_platform_gateway.hpp
@@ -8,27 +8,29 @@
 
 namespace savorydock {
 
-/// Carries out one call of the JSON gateway on a store. Returns nothing if
-/// there is no such path. Throws std::exception on a malformed body.
+/// Executes one JSON gateway call on a store. Returns nothing for an unknown
+/// path. Throws std::exception on a malformed body.
 [[nodiscard]] std::optional<boost::json::object>
-carry_out_gateway_call(fake_platform_store& store, std::string_view path,
-                       const boost::json::object& body, steady_time now);
+execute_gateway_call(fake_platform_store& store, std::string_view path,
+                     const boost::json::object& body, steady_time now);
 
-/// What a watch asks for.
+/// The parameters of a watch.
 struct fake_watch {
     fake_key_range range;
     store_revision start = 0;
 };
 
-/// Reads the body of a watch. Throws std::exception on a malformed body.
+/// Parses the body of a watch request. Throws std::exception on a malformed
+/// body.
 [[nodiscard]] fake_watch read_gateway_watch(const boost::json::object& body);
 
-/// The message that begins a watch, or that ends it if `start` is compacted.
+/// The first message of a watch. It cancels the watch if history from `start`
+/// on has been compacted.
 [[nodiscard]] boost::json::object
 gateway_watch_created(const fake_platform_store& store,
-                      const fake_watch& asked);
+                      const fake_watch& watch);
 
-/// The message that tells changes.
+/// The message that reports `changes` to a watch.
 [[nodiscard]] boost::json::object
 gateway_watch_events(const fake_platform_store& store,
                      const std::vector<fake_store_change>& changes);
--- a/tests/fakes/fake_platform_main.cpp
+++ b/tests/fakes/fake_platform_main.cpp
@@ -1,4 +1,4 @@
-// The stand-in for the platform's store as a program.
+// Runs the test double for the platform's store as a program.
 #include "tests/fakes/fake_platform.hpp"
 
 #include <gflags/gflags.h>
@@ -6,17 +6,20 @@
 #include <csignal>
 #include <iostream>
 
-DEFINE_string(listen, "127.0.0.1:0", "Address to serve on; port 0 takes any.");
+DEFINE_string(listen, "127.0.0.1:0",
+              "Address to serve on; port 0 selects any free port.");
 
 int main(int argc, char** argv) {
-    gflags::SetUsageMessage("A stand-in for the platform's key-value service.");
+    gflags::SetUsageMessage(
+        "A test double for the platform's key-value service.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     const auto address = savorydock::parse_endpoint(FLAGS_listen);
     if (!address) {
         std::cerr << address.reason().detail << '\n';
         return 2;
     }
-    // Threads started later inherit the mask, so that only sigwait sees these.
+    // Threads started later inherit the mask, so only sigwait receives these
+    // signals.
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
--- a/tests/fakes/fake_platform_store.hpp
+++ b/tests/fakes/fake_platform_store.hpp
@@ -11,14 +11,14 @@
 
 namespace savorydock {
 
-/// One change in the store's history; `value.modified` is its revision.
+/// One entry of the store's history; `value.modified` is its revision.
 struct fake_store_change {
     bool is_delete = false;
     stored_value value;
 };
 
-/// A half-open range of keys. An empty `end` means the one key `begin`, and
-/// an `end` of one zero byte all keys from `begin` on.
+/// A half-open range of keys, as in etcd. An empty `end` selects only the key
+/// `begin`; an `end` of one zero byte selects all keys from `begin` on.
 struct fake_key_range {
     std::string begin;
     std::string end;
@@ -26,34 +26,34 @@
     [[nodiscard]] bool contains(const std::string& key) const;
 };
 
-/// The data of the stand-in for the platform's store: one linearizable map
-/// with revisions, history and leases, as etcd v3 describes them. Not thread
-/// safe.
+/// The data behind fake_platform: a linearizable map with revisions, history
+/// and leases that follow the semantics of etcd v3. Not thread safe.
 class fake_platform_store {
 public:
-    /// The revision of the last write; an empty store is at 1.
+    /// The revision of the last write; an empty store has revision 1.
     [[nodiscard]] store_revision revision() const { return revision_; }
     [[nodiscard]] store_revision compacted() const { return compacted_; }
 
-    /// Keys of the range last modified at `minimum` or later.
+    /// Keys of the range last modified at revision `minimum` or later.
     [[nodiscard]] std::vector<stored_value> read(const fake_key_range& range,
                                                  store_revision minimum) const;
     [[nodiscard]] std::optional<stored_value>
     find(const std::string& key) const;
 
-    /// Begins a write transaction: all writes until `commit` share a revision.
+    /// Begins a write transaction; all writes until `commit` get one revision.
     void begin();
-    /// Returns false, and writes nothing, if there is no such lease.
+    /// Returns false and writes nothing if the lease doesn't exist. A lease of
+    /// 0 means none.
     bool put(const std::string& key, std::string value, std::uint64_t lease);
     std::size_t erase(const fake_key_range& range);
     void commit();
 
     std::uint64_t grant(std::chrono::seconds time_to_live, steady_time now);
-    /// The time to live of the lease kept alive, nothing if it has ended.
+    /// Renews a lease. Returns its time to live, or nothing if it has expired.
     std::optional<std::chrono::seconds> keep(std::uint64_t lease,
                                              steady_time now);
     bool revoke(std::uint64_t lease);
-    /// Ends the leases that are over and deletes their keys.
+    /// Removes the leases that have expired by `now` and deletes their keys.
     void expire(steady_time now);
 
     /// Changes of the range from revision `start` on.
@@ -61,7 +61,7 @@
     [[nodiscard]] std::vector<fake_store_change>
     changes(const fake_key_range& range, store_revision start) const;
 
-    /// Forgets the history up to and with `revision`.
+    /// Removes the history up to and including `revision`.
     void compact(store_revision revision);
 
 private:
--- a/tests/fakes/fake_service.hpp
+++ b/tests/fakes/fake_service.hpp
@@ -11,23 +11,25 @@
 
 namespace savorydock {
 
-/// Faults of a fake plain service; each count is used up by that many calls.
+/// Injected faults of a fake plain service. Each affected call reduces its
+/// count by one.
 struct service_faults {
     std::chrono::milliseconds delay{0};
-    /// The call runs and its answer is lost.
+    /// Calls that run without sending a response.
     std::uint32_t lost_answers = 0;
-    /// The call is refused with 503 before it runs.
+    /// Calls that are rejected with 503 before they run.
     std::uint32_t refusals = 0;
-    /// A body that contains this text ends the process after it ran.
+    /// The process exits when a request body contains this text; the call
+    /// counts as run.
     std::string crash_on;
     bool is_leaving = false;
 };
 
-/// A stand-in for a plain service. POST /PATH runs the body and answers
-/// {"ran": PATH, "body": ...}; GET /runs tells how often each body ran, the
-/// ground truth for at-most-once. POST /faults sets faults.
+/// A test double for a plain service. POST /PATH runs the body and responds
+/// with {"ran": PATH, "body": ...}. GET /runs returns how often each body ran;
+/// tests compare it with the at-most-once guarantee. POST /faults sets faults.
 ///
-/// Thread safe. Runs on a pool of its own.
+/// Thread safe. Runs on its own thread pool.
 class fake_service {
 public:
     explicit fake_service(service_faults faults);
--- a/tests/fakes/fake_service_main.cpp
+++ b/tests/fakes/fake_service_main.cpp
@@ -4,8 +4,9 @@
 #include <gflags/gflags.h>
 
 DEFINE_string(listen, "127.0.0.1:0", "Address to listen on");
-DEFINE_uint64(delay_ms, 0, "Time a call takes");
-DEFINE_uint64(lost_answers, 0, "Calls that run and lose their answer");
+DEFINE_uint64(delay_ms, 0, "Time to run one call, in milliseconds");
+DEFINE_uint64(lost_answers, 0,
+              "Number of calls that run without sending a response");
 
 int main(int argc, char** argv) {
     gflags::ParseCommandLineFlags(&argc, &argv, true);
--- a/tests/fakes/fake_trainer.cpp
+++ b/tests/fakes/fake_trainer.cpp
@@ -35,7 +35,7 @@
 
 fake_trainer::fake_trainer(trainer_options options)
     : options_(std::move(options))
-    , held_(std::size_t{options_.groups} * options_.group_size) {}
+    , received_(std::size_t{options_.groups} * options_.group_size) {}
 
 trainer_report fake_trainer::run(const sample_handler& on_sample) {
     asio::io_context context(1);
@@ -43,15 +43,15 @@
     deadline_ = std::chrono::steady_clock::now() + options_.timeout;
     asio::co_spawn(context, run_all(client, on_sample), asio::detached);
     context.run();
-    report_.is_complete =
-        std::all_of(held_.begin(), held_.end(), [](bool bit) { return bit; });
+    report_.is_complete = std::all_of(received_.begin(), received_.end(),
+                                      [](bool bit) { return bit; });
     return report_;
 }
 
 asio::awaitable<void> fake_trainer::run_all(http_client& client,
                                             const sample_handler& on_sample) {
     const auto is_done = [&] {
-        return std::all_of(held_.begin(), held_.end(),
+        return std::all_of(received_.begin(), received_.end(),
                            [](bool bit) { return bit; }) ||
                std::chrono::steady_clock::now() >= deadline_;
     };
@@ -98,13 +98,14 @@
         }
         static_cast<void>(reader.feed(*part));
         while (const auto data = reader.next()) {
-            take(*data, instance, on_sample);
+            store_sample(*data, instance, on_sample);
         }
     }
 }
 
-void fake_trainer::take(const std::string& data, const std::string& instance,
-                        const sample_handler& on_sample) {
+void fake_trainer::store_sample(const std::string& data,
+                                const std::string& instance,
+                                const sample_handler& on_sample) {
     json::error_code error;
     const json::value parsed = json::parse(data, error);
     if (error || !parsed.is_object() ||
@@ -120,11 +121,11 @@
     };
     const std::size_t slot =
         std::size_t{sample.group} * options_.group_size + sample.index;
-    if (held_.at(slot)) {
+    if (received_.at(slot)) {
         ++report_.doubled;
         return;
     }
-    held_[slot] = true;
+    received_[slot] = true;
     if (on_sample) {
         on_sample(sample);
     }
@@ -140,7 +141,7 @@
         groups.push_back(std::move(entry));
     }
     std::string held;
-    for (const bool bit : held_) {
+    for (const bool bit : received_) {
         held += bit ? '1' : '0';
     }
     json::object body{
--- a/tests/fakes/fake_trainer.hpp
+++ b/tests/fakes/fake_trainer.hpp
@@ -15,7 +15,7 @@
 namespace savorydock {
 
 struct trainer_options {
-    /// Entry instances, tried in turn as a balancer would.
+    /// Entry instances, tried round robin like behind a load balancer.
     std::vector<endpoint> entries;
     std::string key;
     std::string model;
@@ -39,23 +39,25 @@
 
 struct trainer_report {
     std::vector<trainer_sample> samples;
-    /// Samples that came for a slot that the trainer already held.
+    /// Samples received for a slot that already had one.
     std::uint32_t doubled = 0;
     std::uint32_t connects = 0;
     bool is_complete = false;
-    /// The last reason why a connection ended early.
+    /// Why the last connection ended early.
     std::string last_problem;
 };
 
-/// A stand-in for a trainer: asks for a step, keeps what it got, and when the
-/// connection breaks asks the next instance for the rest. Blocks.
+/// A test double for a trainer. It requests a step, stores the samples it
+/// receives, and after a disconnect requests the missing ones from the next
+/// instance. Not thread safe.
 class fake_trainer {
 public:
     using sample_handler = std::function<void(const trainer_sample&)>;
 
     explicit fake_trainer(trainer_options options);
 
-    /// Runs the step; `on_sample` sees each sample as it comes.
+    /// Runs the step; blocks until all samples arrived or the timeout passed.
+    /// Calls `on_sample` for each new sample.
     [[nodiscard]] trainer_report run(const sample_handler& on_sample = {});
 
 private:
@@ -63,13 +65,13 @@
                                          const sample_handler& on_sample);
     boost::asio::awaitable<void> connect(http_client& client,
                                          const sample_handler& on_sample);
-    void take(const std::string& data, const std::string& instance,
-              const sample_handler& on_sample);
+    void store_sample(const std::string& data, const std::string& instance,
+                      const sample_handler& on_sample);
     [[nodiscard]] std::string make_body() const;
 
     trainer_options options_;
     trainer_report report_;
-    std::vector<bool> held_;
+    std::vector<bool> received_;
     steady_time deadline_{};
 };
 
--- a/tests/fakes/fake_trainer_main.cpp
+++ b/tests/fakes/fake_trainer_main.cpp
@@ -5,13 +5,13 @@
 #include <iostream>
 
 DEFINE_string(entries, "", "Entry instances, separated by commas");
-DEFINE_string(key, "", "The trainer's key");
-DEFINE_string(model, "", "The model service");
+DEFINE_string(key, "", "Access key of the trainer");
+DEFINE_string(model, "", "Name of the model service");
 DEFINE_uint64(step, 1, "Number of the step");
-DEFINE_uint32(groups, 2, "Groups of the step");
-DEFINE_uint32(group_size, 4, "Samples of a group");
-DEFINE_uint32(max_tokens, 16, "Tokens of a sample");
-DEFINE_uint32(timeout_s, 60, "How long the step may take");
+DEFINE_uint32(groups, 2, "Number of groups in the step");
+DEFINE_uint32(group_size, 4, "Samples per group");
+DEFINE_uint32(max_tokens, 16, "Tokens per sample");
+DEFINE_uint32(timeout_s, 60, "Time limit of the step, in seconds");
 
 namespace {
 
--- a/tests/fakes/fake_users_store.cpp
+++ b/tests/fakes/fake_users_store.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds watch_check{5};
+constexpr std::chrono::milliseconds watch_poll_interval{5};
 
 std::string query(const http_request& request, std::string_view name) {
     const auto target = boost::urls::parse_origin_form(request.target);
@@ -255,13 +255,13 @@
                     changes(query(request, "prefix"),
                             std::stoull(query(request, "after")), is_empty);
             }
-            const bool is_over =
+            const bool has_timed_out =
                 !is_lost_watch && std::chrono::steady_clock::now() >= end;
-            if (!is_empty || is_over || exchange.is_caller_gone()) {
+            if (!is_empty || has_timed_out || exchange.is_caller_gone()) {
                 break;
             }
             asio::steady_timer timer(co_await asio::this_coro::executor);
-            timer.expires_after(watch_check);
+            timer.expires_after(watch_poll_interval);
             co_await timer.async_wait(asio::as_tuple(asio::use_awaitable));
         }
     } else if (!is_refusing_) {
--- a/tests/fakes/fake_users_store.hpp
+++ b/tests/fakes/fake_users_store.hpp
@@ -14,16 +14,16 @@
 
 namespace savorydock {
 
-/// What the stand-in does with one coming transaction.
+/// What the store does with a transaction while a fault is set.
 enum class store_fault : std::uint8_t {
-    /// It answers 503 and does nothing.
+    /// Responds with 503; the transaction has no effect.
     refuse,
-    /// It carries the call out and closes the connection without an answer.
+    /// Commits the transaction, then closes the connection without a response.
     lose_answer,
 };
 
-/// A stand-in of the users' store: keys with revisions, conditions, leases and
-/// watches over HTTP, in one process. Thread safe.
+/// A test double for the users' store: keys with revisions, conditional
+/// transactions, leases and watches over HTTP, in one process. Thread safe.
 class fake_users_store {
 public:
     fake_users_store();
@@ -31,18 +31,19 @@
 
     [[nodiscard]] const endpoint& address() const { return address_; }
 
-    /// The next transactions meet the fault.
+    /// Applies `fault` to the next `count` transactions.
     void fail_transactions(store_fault fault, std::size_t count);
-    /// All calls are answered with 503.
+    /// While set, all calls get 503.
     void set_refusing(bool is_refusing) { is_refusing_ = is_refusing; }
-    /// Watches that begin from now on are never answered, on open connections.
+    /// While set, new watches never get a response, but their connections stay
+    /// open.
     void set_losing_watches(bool is_losing) { is_losing_watches_ = is_losing; }
 
     void put(const std::string& key, const std::string& value);
     void remove(const std::string& key);
-    /// Forgets all changes so far: watches of older revisions get 410.
+    /// Removes the history of changes; watches of older revisions then get 410.
     void drop_history();
-    /// Ends a lease with its keys, without a sign to its holder.
+    /// Ends all leases and deletes their keys without notifying the holders.
     void end_all_leases();
     [[nodiscard]] std::map<std::string, stored_value> values() const;
 
@@ -61,7 +62,7 @@
 
     mutable std::mutex mutex_;
     std::map<std::string, stored_value> values_;
-    /// Changes by revision: the key, and whether it was removed.
+    /// Changes by revision: the value, and whether the key was removed.
     std::map<store_revision, std::pair<stored_value, bool>> history_;
     store_revision revision_ = 1;
     store_revision oldest_ = 0;
