--- a/tests/bench/batch_engine.cpp
+++ b/tests/bench/batch_engine.cpp
@@ -6,29 +6,31 @@
 
 namespace {
 
-/// Work below this is done, whatever rounding left of it.
+/// A run with less work than this left counts as finished; the rest is
+/// rounding error.
 constexpr double negligible_tokens = 1e-3;
 
 } // namespace
 
-double batch_engine::pace() const {
+double batch_engine::tokens_per_second() const {
     if (is_swapping_ || active_.empty()) {
         return 0;
     }
     const double others = static_cast<double>(active_.size()) - 1;
-    return options_.pace * speed_ / (1 + options_.batch_slowdown * others);
+    return options_.tokens_per_second * speed_ /
+           (1 + options_.batch_slowdown * others);
 }
 
 void batch_engine::advance() {
     const std::chrono::duration<double> passed = loop_.now() - advanced_;
     advanced_ = loop_.now();
-    const double done = pace() * passed.count();
+    const double done = tokens_per_second() * passed.count();
     for (auto& [id, active] : active_) {
         active.left -= done;
     }
 }
 
-bool batch_engine::touch_prefix(std::uint64_t prefix) {
+bool batch_engine::use_prefix(std::uint64_t prefix) {
     const auto found = std::find(cache_.begin(), cache_.end(), prefix);
     if (found != cache_.end()) {
         cache_.splice(cache_.begin(), cache_, found);
@@ -44,15 +46,16 @@
     return false;
 }
 
-void batch_engine::fill() {
+void batch_engine::start_queued_runs() {
     while (!is_swapping_ && active_.size() < options_.slots) {
-        std::deque<engine_run>& line = prompt_.empty() ? batch_ : prompt_;
-        if (line.empty()) {
+        std::deque<engine_run>& queue =
+            interactive_queue_.empty() ? batch_queue_ : interactive_queue_;
+        if (queue.empty()) {
             return;
         }
-        engine_run run = std::move(line.front());
-        line.pop_front();
-        const bool is_cached = touch_prefix(run.prefix);
+        engine_run run = std::move(queue.front());
+        queue.pop_front();
+        const bool is_cached = use_prefix(run.prefix);
         const double left = static_cast<double>(run.tokens - run.first_tokens) +
                             (is_cached ? 0 : options_.prefill_tokens);
         const weight_version oldest =
@@ -66,9 +69,9 @@
     }
 }
 
-void batch_engine::plan() {
-    const std::uint64_t plan = ++plan_;
-    const double rate = pace();
+void batch_engine::schedule_next_finish() {
+    const std::uint64_t schedule_id = ++schedule_id_;
+    const double rate = tokens_per_second();
     if (rate <= 0) {
         return;
     }
@@ -77,12 +80,13 @@
                                            return a.second.left < b.second.left;
                                        });
     const double left = std::max(0.0, next->second.left) + negligible_tokens;
-    loop_.after(std::chrono::duration<double>(left / rate), [this, plan] {
-        if (plan == plan_) {
-            advance();
-            finish_ready();
-        }
-    });
+    loop_.after(std::chrono::duration<double>(left / rate),
+                [this, schedule_id] {
+                    if (schedule_id == schedule_id_) {
+                        advance();
+                        finish_ready();
+                    }
+                });
 }
 
 void batch_engine::finish_ready() {
@@ -95,8 +99,8 @@
         ready.push_back(std::move(at->second));
         at = active_.erase(at);
     }
-    fill();
-    plan();
+    start_queued_runs();
+    schedule_next_finish();
     for (const active_run& done : ready) {
         done.run.on_end(
             {upstream_evidence::answered, done.run.tokens, done.oldest});
@@ -110,19 +114,20 @@
         return;
     }
     advance();
-    (run.is_interactive ? prompt_ : batch_).push_back(std::move(run));
-    fill();
-    plan();
+    (run.is_interactive ? interactive_queue_ : batch_queue_)
+        .push_back(std::move(run));
+    start_queued_runs();
+    schedule_next_finish();
 }
 
 void batch_engine::cancel(std::uint64_t id) {
     advance();
-    const auto is_it = [&](const engine_run& run) { return run.id == id; };
-    std::erase_if(prompt_, is_it);
-    std::erase_if(batch_, is_it);
+    const auto has_id = [&](const engine_run& run) { return run.id == id; };
+    std::erase_if(interactive_queue_, has_id);
+    std::erase_if(batch_queue_, has_id);
     active_.erase(id);
-    fill();
-    plan();
+    start_queued_runs();
+    schedule_next_finish();
 }
 
 std::optional<std::uint32_t> batch_engine::tokens_of(std::uint64_t id) {
@@ -140,23 +145,23 @@
 void batch_engine::set_speed(double speed) {
     advance();
     speed_ = speed;
-    plan();
+    schedule_next_finish();
 }
 
 void batch_engine::crash() {
     advance();
     is_down_ = true;
     is_swapping_ = false;
-    ++plan_;
+    ++schedule_id_;
     std::vector<std::function<void(const engine_result&)>> ends;
     for (auto& [id, active] : active_) {
         ends.push_back(std::move(active.run.on_end));
     }
-    for (auto* const line : {&prompt_, &batch_}) {
-        for (engine_run& run : *line) {
+    for (auto* const queue : {&interactive_queue_, &batch_queue_}) {
+        for (engine_run& run : *queue) {
             ends.push_back(std::move(run.on_end));
         }
-        line->clear();
+        queue->clear();
     }
     active_.clear();
     cache_.clear();
@@ -168,17 +173,17 @@
 void batch_engine::begin_swap() {
     advance();
     is_swapping_ = true;
-    plan();
+    schedule_next_finish();
 }
 
 void batch_engine::end_swap(weight_version version) {
     advance();
     is_swapping_ = false;
     version_ = version;
-    // A cache made by the old weights is worth nothing.
+    // Cached prefixes depend on the weights that computed them.
     cache_.clear();
-    fill();
-    plan();
+    start_queued_runs();
+    schedule_next_finish();
 }
 
 } // namespace savorydock::bench
--- a/tests/bench/batch_engine.hpp
+++ b/tests/bench/batch_engine.hpp
@@ -15,12 +15,12 @@
 
 struct engine_options {
     std::uint32_t slots = 16;
-    /// Tokens a second of a run that is alone.
-    double pace = 50;
-    /// How much each further run slows all of them.
+    /// Tokens per second of a run that is alone on the engine.
+    double tokens_per_second = 50;
+    /// Relative slowdown of all runs for each additional concurrent run.
     double batch_slowdown = 0.06;
     std::size_t cached_prefixes = 12;
-    /// Work of reading a prompt that is not cached, in tokens.
+    /// Cost of processing a prompt whose prefix isn't cached, in tokens.
     double prefill_tokens = 40;
 };
 
@@ -33,18 +33,21 @@
 struct engine_run {
     std::uint64_t id = 0;
     std::uint64_t prefix = 0;
-    /// Length of the whole answer, and what a resumed run brings along.
+    /// Tokens of the complete answer, and how many of them a resumed run
+    /// already has.
     std::uint32_t tokens = 0;
     std::uint32_t first_tokens = 0;
-    /// Oldest version of what it brings along; 0 if it brings nothing.
+    /// Oldest weight version of the tokens that a resumed run already has; 0
+    /// for a new run.
     weight_version first_version = 0;
     bool is_interactive = false;
     std::function<void(weight_version)> on_start;
     std::function<void(const engine_result&)> on_end;
 };
 
-/// A model engine in virtual time: continuous batching, a queue by priority,
-/// a prefix cache, swaps that pause what runs, crashes and slowness.
+/// Simulates a model engine in virtual time: continuous batching, one queue
+/// per priority, a prefix cache, weight swaps that pause active runs, crashes
+/// and reduced speed. Not thread safe.
 class batch_engine {
 public:
     batch_engine(event_loop& loop, const engine_options& options)
@@ -54,10 +57,10 @@
     void submit(engine_run run);
     void cancel(std::uint64_t id);
 
-    /// Tokens that a run has by now; nothing before it starts.
+    /// Tokens that a run has generated so far; nothing before it starts.
     [[nodiscard]] std::optional<std::uint32_t> tokens_of(std::uint64_t id);
 
-    /// Sets the part of its pace that the engine keeps.
+    /// Scales the engine's token rate; 1 is full speed.
     void set_speed(double speed);
     void crash();
     void restart() { is_down_ = false; }
@@ -68,11 +71,11 @@
     [[nodiscard]] bool is_swapping() const { return is_swapping_; }
     [[nodiscard]] weight_version version() const { return version_; }
     [[nodiscard]] std::uint32_t load() const {
-        return static_cast<std::uint32_t>(active_.size() + prompt_.size() +
-                                          batch_.size());
+        return static_cast<std::uint32_t>(
+            active_.size() + interactive_queue_.size() + batch_queue_.size());
     }
 
-    /// Called with each prefix that enters the cache.
+    /// Called for each prefix added to the cache.
     std::function<void(std::uint64_t)> on_cached;
 
 private:
@@ -83,20 +86,20 @@
     };
 
     void advance();
-    void fill();
-    void plan();
+    void start_queued_runs();
+    void schedule_next_finish();
     void finish_ready();
-    [[nodiscard]] double pace() const;
-    [[nodiscard]] bool touch_prefix(std::uint64_t prefix);
+    [[nodiscard]] double tokens_per_second() const;
+    [[nodiscard]] bool use_prefix(std::uint64_t prefix);
 
     event_loop& loop_;
     engine_options options_;
     std::map<std::uint64_t, active_run> active_;
-    std::deque<engine_run> prompt_;
-    std::deque<engine_run> batch_;
+    std::deque<engine_run> interactive_queue_;
+    std::deque<engine_run> batch_queue_;
     std::list<std::uint64_t> cache_;
     steady_time advanced_{};
-    std::uint64_t plan_ = 0;
+    std::uint64_t schedule_id_ = 0;
     double speed_ = 1;
     weight_version version_ = 1;
     bool is_down_ = false;
--- a/tests/bench/bench_fleet.cpp
+++ b/tests/bench/bench_fleet.cpp
@@ -13,10 +13,11 @@
 constexpr bench_seconds event_lag_spread{4};
 constexpr double lost_events = 0.2;
 
-/// How long control takes to suspect an upstream that is down.
+/// Time until the control plane suspects an upstream that is down.
 constexpr bench_seconds suspicion_delay{3};
 
-/// Conditions that control itself sets travel faster than reports.
+/// Delay of conditions that the control plane sets itself, which is shorter
+/// than that of reports.
 constexpr bench_seconds notice_lag{0.3};
 
 constexpr double weights_jitter = 0.2;
@@ -44,8 +45,8 @@
     return list;
 }
 
-void bench_fleet::report_to(std::vector<decider*> deciders) {
-    deciders_ = std::move(deciders);
+void bench_fleet::report_to(std::vector<bench_instance*> instances) {
+    instances_ = std::move(instances);
     for (std::uint32_t at = 0; at < engines_.size(); ++at) {
         loop_.after(report_period * unit(), [this, at] {
             report(at);
@@ -58,8 +59,8 @@
             const bench_seconds lag =
                 least_event_lag + event_lag_spread * unit();
             loop_.after(lag, [this, at, prefix] {
-                for (decider* const entry : deciders_) {
-                    entry->hear_cached(at, prefix);
+                for (bench_instance* const entry : instances_) {
+                    entry->on_prefix_cached(at, prefix);
                 }
             });
         };
@@ -75,13 +76,13 @@
     if (source.is_down()) {
         state.condition = upstream_condition::suspected;
         extra = suspicion_delay;
-    } else if (source.is_swapping() || noticed_.contains(engine)) {
+    } else if (source.is_swapping() || announced_swaps_.contains(engine)) {
         state.condition = upstream_condition::swapping;
     }
-    for (decider* const entry : deciders_) {
+    for (bench_instance* const entry : instances_) {
         const bench_seconds lag =
             least_report_lag + report_lag_spread * unit() + extra;
-        loop_.after(lag, [=] { entry->hear(engine, state); });
+        loop_.after(lag, [=] { entry->on_report(engine, state); });
     }
 }
 
@@ -110,13 +111,14 @@
             newest_ = version;
             announce(version);
             for (std::uint32_t engine = 0; engine < engines_.size(); ++engine) {
-                // Half of the engines stay in service.
+                // Swaps in two waves, so that half of the engines stay in
+                // service.
                 const bench_seconds wave =
                     (load.swap + load.swap_notice) * (engine % 2);
-                const bool does_fail =
+                const bool will_fail =
                     version == failing_version && engine == failing_engine;
                 loop_.after(wave, [=, this] {
-                    swap(engine, version, load, does_fail);
+                    swap(engine, version, load, will_fail);
                 });
             }
         });
@@ -124,7 +126,7 @@
 }
 
 void bench_fleet::swap(std::uint32_t engine, weight_version version,
-                       const bench_load& load, bool does_fail) {
+                       const bench_load& load, bool will_fail) {
     batch_engine& target = *engines_[engine];
     if (target.is_down()) {
         return;
@@ -134,19 +136,19 @@
                                .version = target.version(),
                                .reported_load = target.load(),
                                .reported_at = loop_.now()};
-        noticed_.insert(engine);
-        for (decider* const entry : deciders_) {
-            loop_.after(notice_lag, [=] { entry->hear(engine, noticed); });
+        announced_swaps_.insert(engine);
+        for (bench_instance* const entry : instances_) {
+            loop_.after(notice_lag, [=] { entry->on_report(engine, noticed); });
         }
     }
     loop_.after(load.swap_notice, [=, this] {
-        noticed_.erase(engine);
-        order_swap(engine, version, load, does_fail);
+        announced_swaps_.erase(engine);
+        order_swap(engine, version, load, will_fail);
     });
 }
 
 void bench_fleet::order_swap(std::uint32_t engine, weight_version version,
-                             const bench_load& load, bool does_fail) {
+                             const bench_load& load, bool will_fail) {
     batch_engine& target = *engines_[engine];
     if (target.is_down()) {
         return;
@@ -156,8 +158,8 @@
         if (target.is_down()) {
             return;
         }
-        target.end_swap(does_fail ? target.version() : version);
-        if (does_fail) {
+        target.end_swap(will_fail ? target.version() : version);
+        if (will_fail) {
             loop_.after(load.failed_swap_retry,
                         [=, this] { swap(engine, version, load, false); });
         }
--- a/tests/bench/decider.cpp
+++ b/tests/bench/bench_instance.cpp
@@ -1,4 +1,4 @@
-#include "tests/bench/decider.hpp"
+#include "tests/bench/bench_instance.hpp"
 
 #include <utility>
 
@@ -27,7 +27,7 @@
 
 } // namespace
 
-decider::decider(const setting& options)
+bench_instance::bench_instance(const setting& options)
     : setting_(options)
     , service_{1, options.document}
     , view_(std::make_shared<const configuration_view>(
@@ -35,7 +35,7 @@
               {options.document->service, service_}},
           1))
     , router_(zone_of(options.number),
-              options.seed * decider_count + options.number)
+              options.seed * instance_count + options.number)
     , admission_({}, options.document->classes, options.document->callers) {
     for (const upstream_rule& rule : options.document->upstreams) {
         states_[{options.document->service, rule.name}].version = 1;
@@ -44,27 +44,29 @@
     setting_.loop.every(publish_period, [this] { publish(); });
 }
 
-void decider::publish() {
+void bench_instance::publish() {
     router_.publish(view_, std::make_shared<const upstream_state_map>(states_));
     admission_.set_capacity(
         share_of_capacity(router_.load(setting_.document->service)));
-    carry_out(admission_.on_tick(setting_.loop.now()));
+    apply_admission_change(admission_.on_tick(setting_.loop.now()));
 }
 
-void decider::hear(std::uint32_t engine, const upstream_state& state) {
+void bench_instance::on_report(std::uint32_t engine,
+                               const upstream_state& state) {
     const auto& rule = setting_.document->upstreams[engine];
     states_[{setting_.document->service, rule.name}] = state;
 }
 
-void decider::hear_cached(std::uint32_t engine, std::uint64_t prefix) {
+void bench_instance::on_prefix_cached(std::uint32_t engine,
+                                      std::uint64_t prefix) {
     router_.learn_prefix(setting_.document->service,
                          setting_.document->upstreams[engine].name, prefix,
                          setting_.loop.now());
 }
 
-std::uint64_t decider::submit(bench_call call) {
+std::uint64_t bench_instance::submit(bench_call call) {
     const std::uint64_t ticket =
-        ++next_ticket_ * decider_count + setting_.number;
+        ++next_ticket_ * instance_count + setting_.number;
     const admission_request request{.ticket = ticket,
                                     .class_of_service = call.class_of_service,
                                     .caller = call.caller,
@@ -86,7 +88,7 @@
     return ticket;
 }
 
-void decider::start(std::uint64_t ticket) {
+void bench_instance::start(std::uint64_t ticket) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end()) {
         return;
@@ -115,17 +117,18 @@
     setting_.loop.after(pick_retry, [=, this] { start(ticket); });
 }
 
-void decider::send(std::uint64_t ticket, std::uint32_t engine, bool is_away) {
+void bench_instance::send(std::uint64_t ticket, std::uint32_t engine,
+                          bool crosses_zones) {
     pending_call& pending = calls_.at(ticket);
     const bench_call& call = pending.call;
     const service_name& service = setting_.document->service;
     pending.engine = engine;
     pending.sent = setting_.loop.now();
     ++pending.attempts;
-    ++sends_;
+    ++attempt_count_;
     router_.begin(service, setting_.document->upstreams[engine].name);
-    const bench_seconds way =
-        is_away ? setting_.size.zone_delay : bench_seconds(0);
+    const bench_seconds network_delay =
+        crosses_zones ? setting_.size.zone_delay : bench_seconds(0);
     const class_rule* const rule =
         setting_.document->find_class(call.class_of_service);
     engine_run run{.id = ticket,
@@ -136,17 +139,19 @@
                    .is_interactive = rule->is_interactive,
                    .on_start = call.on_start};
     run.on_end = [=, this](const engine_result& result) {
-        setting_.loop.after(way, [=, this] { take_result(ticket, result); });
+        setting_.loop.after(network_delay,
+                            [=, this] { handle_result(ticket, result); });
     };
-    setting_.loop.after(way, [=, this, run = std::move(run)] {
-        // A call cancelled on its way is no longer on record.
+    setting_.loop.after(network_delay, [=, this, run = std::move(run)] {
+        // The call may have been cancelled during the network delay.
         if (calls_.contains(ticket)) {
             setting_.engines[engine]->submit(run);
         }
     });
 }
 
-void decider::take_result(std::uint64_t ticket, const engine_result& result) {
+void bench_instance::handle_result(std::uint64_t ticket,
+                                   const engine_result& result) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end() || !found->second.engine) {
         return;
@@ -174,7 +179,7 @@
         {code_of(result.evidence), result.tokens, result.oldest_version});
 }
 
-void decider::end(std::uint64_t ticket, const call_end& outcome) {
+void bench_instance::end(std::uint64_t ticket, const call_end& outcome) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end()) {
         return;
@@ -182,12 +187,12 @@
     const auto on_end = std::move(found->second.call.on_end);
     calls_.erase(found);
     if (setting_.policy.has_admission) {
-        carry_out(admission_.release(ticket, setting_.loop.now()));
+        apply_admission_change(admission_.release(ticket, setting_.loop.now()));
     }
     on_end(outcome);
 }
 
-void decider::carry_out(const admission_change& change) {
+void bench_instance::apply_admission_change(const admission_change& change) {
     for (const std::uint64_t ticket : change.granted) {
         setting_.loop.after(bench_seconds(0), [=, this] { start(ticket); });
     }
@@ -198,7 +203,7 @@
     }
 }
 
-void decider::cancel(std::uint64_t ticket) {
+void bench_instance::cancel(std::uint64_t ticket) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end()) {
         return;
@@ -211,11 +216,11 @@
     }
     calls_.erase(found);
     if (setting_.policy.has_admission && !admission_.cancel(ticket)) {
-        carry_out(admission_.release(ticket, setting_.loop.now()));
+        apply_admission_change(admission_.release(ticket, setting_.loop.now()));
     }
 }
 
-std::optional<std::uint32_t> decider::tokens_of(std::uint64_t ticket) {
+std::optional<std::uint32_t> bench_instance::tokens_of(std::uint64_t ticket) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end() || !found->second.engine) {
         return std::nullopt;
@@ -223,14 +228,14 @@
     return setting_.engines[*found->second.engine]->tokens_of(ticket);
 }
 
-bool decider::is_paused(std::uint64_t ticket) const {
+bool bench_instance::is_paused(std::uint64_t ticket) const {
     const auto found =
         states_.find({setting_.document->service, upstream_of(ticket)});
     return found != states_.end() &&
            found->second.condition == upstream_condition::swapping;
 }
 
-upstream_id decider::upstream_of(std::uint64_t ticket) const {
+upstream_id bench_instance::upstream_of(std::uint64_t ticket) const {
     const auto found = calls_.find(ticket);
     if (found == calls_.end() || !found->second.engine) {
         return {};
--- a/tests/bench/decider.hpp
+++ b/tests/bench/bench_instance.hpp
@@ -18,28 +18,29 @@
     weight_version oldest_version = 0;
 };
 
-/// A request as an instance gets it from a caller.
+/// A request from a caller to an instance.
 struct bench_call {
     class_name class_of_service;
     caller_id caller;
     std::uint64_t prefix = 0;
     std::uint32_t expected_tokens = 0;
     weight_version minimum_version = 0;
-    /// Length of the whole answer, and what a resumed run brings along.
+    /// Tokens of the complete answer, and how many of them a resumed run
+    /// already has.
     std::uint32_t tokens = 0;
     std::uint32_t first_tokens = 0;
     weight_version first_version = 0;
     steady_time deadline{};
     bool is_retried = false;
-    /// An upstream to pass over from the first try on.
+    /// Upstreams not to use, from the first attempt on.
     std::vector<upstream_id> excluded;
     std::function<void(weight_version)> on_start;
     std::function<void(const call_end&)> on_end;
 };
 
-/// One entry instance in virtual time: the real router and the real admission
-/// queue over engines in the same loop.
-class decider {
+/// Simulates one entry instance in virtual time: the production router and
+/// admission queue with simulated engines on the same event loop.
+class bench_instance {
 public:
     struct setting {
         event_loop& loop;
@@ -51,24 +52,24 @@
         std::uint64_t seed = 0;
     };
 
-    explicit decider(const setting& options);
+    explicit bench_instance(const setting& options);
 
-    /// Returns the ticket by which the call can be asked about and cancelled.
+    /// Returns a ticket that identifies the call in the other methods.
     std::uint64_t submit(bench_call call);
     void cancel(std::uint64_t ticket);
     [[nodiscard]] std::optional<std::uint32_t> tokens_of(std::uint64_t ticket);
-    /// The upstream that a call is on; empty while it waits.
+    /// The upstream that runs the call; empty while the call waits.
     [[nodiscard]] upstream_id upstream_of(std::uint64_t ticket) const;
 
-    /// Whether the instance holds the call's upstream to be swapping.
+    /// Whether the call's upstream is swapping, as far as this instance knows.
     [[nodiscard]] bool is_paused(std::uint64_t ticket) const;
 
-    /// A report of an upstream has come.
-    void hear(std::uint32_t engine, const upstream_state& state);
-    void hear_cached(std::uint32_t engine, std::uint64_t prefix);
+    /// Handles a load report or condition change of an upstream.
+    void on_report(std::uint32_t engine, const upstream_state& state);
+    void on_prefix_cached(std::uint32_t engine, std::uint64_t prefix);
 
     [[nodiscard]] std::uint64_t calls() const { return next_ticket_; }
-    [[nodiscard]] std::uint64_t sends() const { return sends_; }
+    [[nodiscard]] std::uint64_t sends() const { return attempt_count_; }
 
 private:
     struct pending_call {
@@ -80,10 +81,10 @@
 
     void publish();
     void start(std::uint64_t ticket);
-    void send(std::uint64_t ticket, std::uint32_t engine, bool is_away);
-    void take_result(std::uint64_t ticket, const engine_result& result);
+    void send(std::uint64_t ticket, std::uint32_t engine, bool crosses_zones);
+    void handle_result(std::uint64_t ticket, const engine_result& result);
     void end(std::uint64_t ticket, const call_end& outcome);
-    void carry_out(const admission_change& change);
+    void apply_admission_change(const admission_change& change);
 
     setting setting_;
     service_in_force service_;
@@ -93,7 +94,7 @@
     admission_queue admission_;
     std::map<std::uint64_t, pending_call> calls_;
     std::uint64_t next_ticket_ = 0;
-    std::uint64_t sends_ = 0;
+    std::uint64_t attempt_count_ = 0;
 };
 
 } // namespace savorydock::bench
--- a/tests/bench/event_loop.hpp
+++ b/tests/bench/event_loop.hpp
@@ -11,8 +11,8 @@
 
 namespace savorydock::bench {
 
-/// Runs actions in the order of their virtual times; equal times in the order
-/// of entry, so that a run repeats exactly. Not thread safe.
+/// Runs actions in order of virtual time. Actions due at the same time run in
+/// the order they were added, so runs are reproducible. Not thread safe.
 class event_loop {
 public:
     using action = std::function<void()>;
@@ -26,7 +26,7 @@
                       ++sequence_, std::move(act)});
     }
 
-    /// Calls `act` every `period` from now on.
+    /// Calls `act` every `period`, for the first time after one period.
     void every(std::chrono::duration<double> period, action act) {
         after(period, [this, period, act = std::move(act)] {
             act();
@@ -55,7 +55,7 @@
         }
     };
 
-    /// Time zero means "never" elsewhere, so virtual time begins later.
+    /// Starts above zero because the tested code uses time zero for "never".
     steady_time now_{std::chrono::hours(1)};
     std::uint64_t sequence_ = 0;
     std::priority_queue<event> events_;
--- a/tests/bench/experiment.cpp
+++ b/tests/bench/experiment.cpp
@@ -12,39 +12,39 @@
 namespace {
 
 constexpr engine_options plain_engine{.slots = 8,
-                                      .pace = 1'000,
+                                      .tokens_per_second = 1'000,
                                       .batch_slowdown = 0.1,
                                       .cached_prefixes = 1,
                                       .prefill_tokens = 0};
 
 constexpr interactive_options prompt_calls{.service_tokens = 40,
-                                           .patience = bench_seconds(30)};
+                                           .timeout = bench_seconds(30)};
 constexpr interactive_options plain_calls{.service_tokens = 30,
-                                          .patience = bench_seconds(5)};
+                                          .timeout = bench_seconds(5)};
 
-/// The instances of a deployment for one of its services.
-class decider_group {
+/// The simulated instances of a deployment that serve one service.
+class instance_group {
 public:
-    decider_group(event_loop& loop, const deployment& size,
-                  const bench_policy& policy, service_document document,
-                  const bench_fleet& fleet, std::uint64_t seed)
+    instance_group(event_loop& loop, const deployment& size,
+                   const bench_policy& policy, service_document document,
+                   const bench_fleet& fleet, std::uint64_t seed)
         : document_(
               std::make_shared<const service_document>(std::move(document))) {
-        for (std::uint32_t number = 0; number < decider_count; ++number) {
-            deciders_.push_back(std::make_unique<decider>(
-                decider::setting{.loop = loop,
-                                 .size = size,
-                                 .policy = policy,
-                                 .document = document_,
-                                 .engines = fleet.engines(),
-                                 .number = number,
-                                 .seed = seed}));
+        for (std::uint32_t number = 0; number < instance_count; ++number) {
+            instances_.push_back(std::make_unique<bench_instance>(
+                bench_instance::setting{.loop = loop,
+                                        .size = size,
+                                        .policy = policy,
+                                        .document = document_,
+                                        .engines = fleet.engines(),
+                                        .number = number,
+                                        .seed = seed}));
         }
     }
 
-    [[nodiscard]] std::vector<decider*> all() const {
-        std::vector<decider*> list;
-        for (const auto& entry : deciders_) {
+    [[nodiscard]] std::vector<bench_instance*> all() const {
+        std::vector<bench_instance*> list;
+        for (const auto& entry : instances_) {
             list.push_back(entry.get());
         }
         return list;
@@ -52,7 +52,7 @@
 
 private:
     std::shared_ptr<const service_document> document_;
-    std::vector<std::unique_ptr<decider>> deciders_;
+    std::vector<std::unique_ptr<bench_instance>> instances_;
 };
 
 double quantile(std::vector<double> values, double part) {
@@ -103,24 +103,24 @@
     event_loop loop;
     bench_fleet models(loop, size.model_upstreams, {}, seed);
     bench_fleet plains(loop, size.plain_upstreams, plain_engine, seed + 1);
-    decider_group model_group(loop, size, policy,
-                              make_model_document(size, policy), models, seed);
-    decider_group plain_group(loop, size, policy,
-                              make_plain_document(size, policy), plains, seed);
+    instance_group model_group(loop, size, policy,
+                               make_model_document(size, policy), models, seed);
+    instance_group plain_group(loop, size, policy,
+                               make_plain_document(size, policy), plains, seed);
     models.report_to(model_group.all());
     plains.report_to(plain_group.all());
     models.plan_faults(load);
 
     std::vector<std::unique_ptr<trainer_load>> trainers;
     for (std::uint32_t number = 0; number < load.trainers; ++number) {
-        // Trainers sit before different instances in different zones.
-        decider& entry = *model_group.all()[number * 2 % decider_count];
+        // Each trainer uses another instance, in another zone.
+        bench_instance& entry = *model_group.all()[number * 2 % instance_count];
         trainers.push_back(std::make_unique<trainer_load>(
             loop, entry, load, policy, number, seed));
     }
     models.plan_weights(load, [&](weight_version version) {
         for (const auto& trainer : trainers) {
-            trainer->hear_weights(version);
+            trainer->on_new_weights(version);
         }
     });
     interactive_load prompts(loop, model_group.all(), prompt_calls,
@@ -147,7 +147,7 @@
     total.recovery_seconds = prompts.recovery_seconds();
     std::uint64_t calls = 0;
     std::uint64_t sends = 0;
-    for (const decider* const entry : model_group.all()) {
+    for (const bench_instance* const entry : model_group.all()) {
         calls += entry->calls();
         sends += entry->sends();
     }
--- a/tests/bench/experiment.hpp
+++ b/tests/bench/experiment.hpp
@@ -6,15 +6,15 @@
 
 namespace savorydock::bench {
 
-/// What one run of one policy gave.
+/// Results of one run of one policy.
 struct experiment_figures {
-    /// Mean time that a trainer waited for a step after its training.
+    /// Mean time that a trainer was idle until its next step was complete.
     double idle_seconds = 0;
     double idle_p90_seconds = 0;
     std::uint64_t steps = 0;
     std::uint64_t samples = 0;
     std::uint64_t discarded_too_old = 0;
-    /// The largest lag of a sample that was handed over.
+    /// Largest staleness of a delivered sample, in weight versions.
     std::uint64_t max_staleness = 0;
     std::uint64_t cancelled_early = 0;
     std::uint64_t wasted_tokens = 0;
@@ -29,12 +29,12 @@
     std::uint64_t interactive_failed = 0;
     std::uint64_t interactive_late = 0;
     double recovery_seconds = 0;
-    /// Requests sent to model engines for each one that was begun.
+    /// Requests sent to model engines per submitted call.
     double sends_per_call = 0;
 };
 
-/// Runs one policy on one deployment in virtual time; the same seed gives
-/// every policy the same load and the same faults.
+/// Runs one policy on one deployment in virtual time. With the same seed, all
+/// policies get the same load and the same faults.
 [[nodiscard]] experiment_figures run_experiment(const deployment& size,
                                                 const bench_policy& policy,
                                                 const bench_load& load,
--- a/tests/bench/interactive_load.cpp
+++ b/tests/bench/interactive_load.cpp
@@ -41,21 +41,21 @@
 void interactive_load::call() {
     ++calls_;
     const steady_time began = loop_.now();
-    decider& entry = *entries_[random_.below(entries_.size())];
+    bench_instance& entry = *entries_[random_.below(entries_.size())];
     bench_call request{
         .class_of_service = class_name("prompt"),
         .caller = caller_id("console"),
         .prefix = mix_bits(random_.below(prompt_count) + 1),
         .tokens = options_.service_tokens,
         .deadline = began + std::chrono::duration_cast<steady_time::duration>(
-                                options_.patience),
+                                options_.timeout),
         .is_retried = true};
     request.on_end = [this, began](const call_end& end) {
         if (end.code == result_code::ok) {
             const bench_seconds took = loop_.now() - began + 2 * client_delay_;
             latencies_.push_back(took.count());
             begins_.push_back(began);
-            late_ += took > options_.patience ? 1 : 0;
+            late_ += took > options_.timeout ? 1 : 0;
         } else {
             ++(classify(end.code) == result_class::not_run ? refused_
                                                            : failed_);
@@ -73,7 +73,7 @@
         }
     }
     if (found.empty()) {
-        // No answer at all is no recovery.
+        // A window without any answer doesn't count as recovered.
         return std::numeric_limits<double>::infinity();
     }
     const auto middle =
--- a/tests/bench/interactive_load.hpp
+++ b/tests/bench/interactive_load.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/random_source.hpp"
+#include "tests/bench/bench_instance.hpp"
 #include "tests/bench/bench_settings.hpp"
-#include "tests/bench/decider.hpp"
 
 #include <cstdint>
 #include <vector>
@@ -11,13 +11,14 @@
 
 struct interactive_options {
     std::uint32_t service_tokens = 40;
-    bench_seconds patience{30};
+    bench_seconds timeout{30};
 };
 
-/// Interactive callers: independent arrivals, each at an instance by chance.
+/// Simulates interactive callers. Calls arrive independently of each other and
+/// go to a random instance.
 class interactive_load {
 public:
-    interactive_load(event_loop& loop, std::vector<decider*> entries,
+    interactive_load(event_loop& loop, std::vector<bench_instance*> entries,
                      const interactive_options& options,
                      bench_seconds client_delay, std::uint64_t seed)
         : loop_(loop)
@@ -26,18 +27,19 @@
         , client_delay_(client_delay)
         , random_(seed) {}
 
-    /// Sends `rate` calls a second, `surge` times as many in the middle third.
+    /// Starts sending `rate` calls per second, times `surge` in the middle
+    /// third of the run.
     void begin(double rate, double surge, const bench_load& load);
 
-    /// Seconds from call to answer, as the caller sees them.
+    /// Latencies as seen by the callers, in seconds.
     [[nodiscard]] const std::vector<double>& latencies() const {
         return latencies_;
     }
-    /// Answers that came after the caller's patience.
+    /// Number of answers that arrived after the caller's timeout.
     [[nodiscard]] std::uint64_t late() const { return late_; }
 
-    /// Seconds from the end of the surge until the median latency of 30 s is
-    /// again below twice that of before.
+    /// Seconds from the end of the surge until the median latency over 30 s is
+    /// at most twice the median from before the surge.
     [[nodiscard]] double recovery_seconds() const;
 
     [[nodiscard]] std::uint64_t calls() const { return calls_; }
@@ -51,7 +53,7 @@
     void call();
 
     event_loop& loop_;
-    std::vector<decider*> entries_;
+    std::vector<bench_instance*> entries_;
     interactive_options options_;
     bench_seconds client_delay_;
     seeded_random_source random_;
@@ -60,7 +62,7 @@
     steady_time surge_from_{};
     steady_time surge_until_{};
     std::vector<double> latencies_;
-    /// When the calls of `latencies_` began.
+    /// Start times of the calls in `latencies_`.
     std::vector<steady_time> begins_;
     std::uint64_t late_ = 0;
     std::uint64_t calls_ = 0;
--- a/tests/bench/policy_bench_main.cpp
+++ b/tests/bench/policy_bench_main.cpp
@@ -1,5 +1,5 @@
-/// Measures routing, admission and scheduling policies on the same loads in
-/// virtual time. One JSON line for each run, then a table.
+/// Compares routing, admission and scheduling policies on the same load in
+/// virtual time. Prints one JSON line per run, then a table.
 
 #include "tests/bench/experiment.hpp"
 
@@ -12,12 +12,12 @@
 #include <string>
 #include <vector>
 
-DEFINE_uint32(seeds, 5, "runs of each policy, with seeds 1, 2, ...");
-DEFINE_uint32(minutes, 30, "virtual minutes of each run");
-DEFINE_double(surge, 1, "interactive load of the middle third, as a multiple");
-DEFINE_uint32(bound, 1, "versions that a sample may lag at hand-over");
+DEFINE_uint32(seeds, 5, "number of runs of each policy, with seeds 1, 2, ...");
+DEFINE_uint32(minutes, 30, "length of each run in virtual minutes");
+DEFINE_double(surge, 1, "factor on the interactive load in the middle third");
+DEFINE_uint32(bound, 1, "weight versions that a delivered sample may lag");
 DEFINE_double(swap_notice, 0, "seconds from a swap's notice to its order");
-DEFINE_string(only, "", "measure policies whose name begins so");
+DEFINE_string(only, "", "measure only policies whose names start with this");
 
 namespace savorydock::bench {
 
--- a/tests/bench/trainer_load.cpp
+++ b/tests/bench/trainer_load.cpp
@@ -8,18 +8,19 @@
 
 namespace {
 
-/// Slots that wait in the admission queue at once; the others stay with the
-/// schedule, which may still change its mind about them.
+/// Maximum number of slots that wait in the admission queue. The others stay in
+/// the schedule, where their order can still change.
 constexpr std::uint32_t queued_slots = 4;
 
 constexpr std::chrono::seconds review_period{1};
 constexpr std::chrono::hours call_deadline{1};
 
-/// A trainer sends what was refused again after this time; one that uses the
-/// schedule does so at the next review.
+/// Delay before a trainer without the schedule retries a rejected request; with
+/// the schedule, the retry comes with the next review.
 constexpr bench_seconds refusal_pause{1};
 
-/// Logarithms of tokens: a prompt's own length, and its samples around it.
+/// Parameters of log-normal answer lengths in tokens: the mean differs between
+/// prompts, and samples of one prompt vary around it.
 constexpr double prompt_log_mean = 5.7;
 constexpr double prompt_log_deviation = 0.8;
 constexpr double sample_log_deviation = 0.3;
@@ -30,7 +31,8 @@
     return (static_cast<double>(bits >> 11U) + 0.5) * 0x1.0p-53;
 }
 
-/// A normal variate that depends on `key` only, the same for all policies.
+/// A normally distributed value derived from `key` alone, so that all policies
+/// get the same lengths.
 double normal(std::uint64_t key) {
     const double radius = std::sqrt(-2 * std::log(unit(mix_bits(key))));
     return radius * std::cos(2 * std::numbers::pi * unit(mix_bits(~key)));
@@ -38,7 +40,7 @@
 
 } // namespace
 
-trainer_load::trainer_load(event_loop& loop, decider& entry,
+trainer_load::trainer_load(event_loop& loop, bench_instance& entry,
                            const bench_load& load, const bench_policy& policy,
                            std::uint32_t number, std::uint64_t seed)
     : loop_(loop)
@@ -83,7 +85,7 @@
                               .staleness_bound = load_.staleness_bound,
                               .idle_weight = policy_.idle_weight},
         prefixes_, lengths_, forecast_);
-    pump();
+    start_next_slots();
 }
 
 void trainer_load::submit_all() {
@@ -94,7 +96,7 @@
     }
 }
 
-void trainer_load::pump() {
+void trainer_load::start_next_slots() {
     while (not_started_ < queued_slots) {
         const auto start = schedule_->next(loop_.now());
         if (!start) {
@@ -137,13 +139,15 @@
             schedule_->begin(run, version, loop_.now());
         }
     };
-    call.on_end = [=, this](const call_end& end) { take_end(step, run, end); };
+    call.on_end = [=, this](const call_end& end) {
+        handle_end(step, run, end);
+    };
     live_[run] = {};
     live_[run].ticket = entry_.submit(std::move(call));
 }
 
-void trainer_load::take_end(std::uint64_t step, const run_key& run,
-                            const call_end& end) {
+void trainer_load::handle_end(std::uint64_t step, const run_key& run,
+                              const call_end& end) {
     const auto found = live_.find(run);
     if (step != step_ || found == live_.end()) {
         return;
@@ -161,8 +165,8 @@
         ++figures_.lost;
     }
     if (!schedule_) {
-        const bool is_at_once = end.code == result_code::ok;
-        loop_.after(is_at_once ? bench_seconds(0) : refusal_pause, [=, this] {
+        const bool is_immediate = end.code == result_code::ok;
+        loop_.after(is_immediate ? bench_seconds(0) : refusal_pause, [=, this] {
             if (step == step_) {
                 run_slot(run.slot, 0, 0, nullptr, {});
             }
@@ -171,7 +175,7 @@
     }
     schedule_->remove_run(run);
     if (end.code == result_code::ok) {
-        pump();
+        start_next_slots();
     }
 }
 
@@ -194,7 +198,7 @@
     if (--open_ == 0) {
         finish_step();
     } else if (schedule_) {
-        pump();
+        start_next_slots();
     }
 }
 
@@ -247,10 +251,10 @@
             figures_.wasted_tokens += live.tokens;
         }
     }
-    pump();
+    start_next_slots();
 }
 
-void trainer_load::hear_weights(weight_version newest) {
+void trainer_load::on_new_weights(weight_version newest) {
     forecast_.observe(newest, loop_.now());
 }
 
@@ -263,7 +267,7 @@
     trained_at_ =
         std::max(now, trained_at_) +
         std::chrono::duration_cast<steady_time::duration>(load_.training);
-    // The next step is asked for when training on this one begins.
+    // The next step is requested when training on this one begins.
     const steady_time begins =
         trained_at_ -
         std::chrono::duration_cast<steady_time::duration>(load_.training);
--- a/tests/bench/trainer_load.hpp
+++ b/tests/bench/trainer_load.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "servers/step_schedule/step_schedule.hpp"
-#include "tests/bench/decider.hpp"
+#include "tests/bench/bench_instance.hpp"
 
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
     std::uint64_t handed_over = 0;
     std::uint64_t discarded_too_old = 0;
     std::uint64_t cancelled_early = 0;
-    /// Tokens of answers and runs that were thrown away.
+    /// Tokens of discarded answers and cancelled runs.
     std::uint64_t wasted_tokens = 0;
     std::uint64_t moved = 0;
     std::uint64_t hedged = 0;
@@ -23,16 +23,16 @@
     std::uint64_t max_staleness = 0;
 };
 
-/// A trainer that asks for the samples of the next step while it trains on
-/// the last one, and idles when they come too late.
+/// Simulates a trainer. It requests the samples of the next step while it
+/// trains on the last one, and is idle when they arrive after the training.
 class trainer_load {
 public:
-    trainer_load(event_loop& loop, decider& entry, const bench_load& load,
-                 const bench_policy& policy, std::uint32_t number,
-                 std::uint64_t seed);
+    trainer_load(event_loop& loop, bench_instance& entry,
+                 const bench_load& load, const bench_policy& policy,
+                 std::uint32_t number, std::uint64_t seed);
 
     void begin_step();
-    void hear_weights(weight_version newest);
+    void on_new_weights(weight_version newest);
     [[nodiscard]] const trainer_figures& figures() const { return figures_; }
 
 private:
@@ -45,18 +45,19 @@
 
     [[nodiscard]] std::uint32_t length_of(slot_place slot) const;
     void submit_all();
-    void pump();
+    void start_next_slots();
     void review();
     void run_slot(slot_place slot, std::uint32_t expected,
                   weight_version minimum, const live_run* resumed,
                   const std::vector<upstream_id>& excluded);
-    void take_end(std::uint64_t step, const run_key& run, const call_end& end);
+    void handle_end(std::uint64_t step, const run_key& run,
+                    const call_end& end);
     void accept(slot_place slot, const call_end& end);
     void cancel_runs(slot_place slot);
     void finish_step();
 
     event_loop& loop_;
-    decider& entry_;
+    bench_instance& entry_;
     bench_load load_;
     bench_policy policy_;
     std::uint32_t number_;
--- a/tests/load/entry_load_main.cpp
+++ b/tests/load/entry_load_main.cpp
@@ -1,6 +1,6 @@
-// Measures entry instances as processes: processor time and memory at rest by
-// the number of instances, added latency, processor time a request and token.
-// Prints one JSON line a measurement.
+// Measures entry instances that run as processes: processor time and memory of
+// idle fleets of several sizes, added latency, and processor time per request
+// and per token. Prints one JSON line per measurement.
 #include "core/service_document.hpp"
 #include "drivers/platform_kv/publisher.hpp"
 #include "tests/fakes/child_process.hpp"
@@ -17,10 +17,11 @@
 #include <memory>
 #include <thread>
 
-DEFINE_string(bin, "build/bin", "Folder of the programs");
-DEFINE_string(charts, "charts", "Folder of the state charts");
-DEFINE_string(instances, "1,3,9,27", "Numbers of instances at rest");
-DEFINE_uint32(rounds, 3, "Rounds of the latency measurement");
+DEFINE_string(bin, "build/bin", "Folder that contains the programs");
+DEFINE_string(charts, "charts", "Folder that contains the state charts");
+DEFINE_string(instances, "1,3,9,27", "Sizes of the idle fleets to measure");
+DEFINE_uint32(rounds, 3,
+              "Number of rounds of the latency and stream measurements");
 
 namespace {
 
@@ -30,7 +31,7 @@
 
 constexpr std::size_t zone_count = 4;
 constexpr std::chrono::seconds settle_time{4};
-constexpr std::chrono::seconds rest_time{10};
+constexpr std::chrono::seconds idle_time{10};
 constexpr std::chrono::seconds start_limit{20};
 constexpr std::uint32_t stream_tokens = 2'000;
 
@@ -39,7 +40,8 @@
     return line.substr(begin, line.find(' ', begin) - begin);
 }
 
-/// A fleet of entry instances beside one platform, service and engine.
+/// Runs a fleet of entry instances with one test double each of the platform,
+/// a plain service and an engine.
 class load_fleet {
 public:
     explicit load_fleet(std::size_t size)
@@ -181,16 +183,16 @@
     std::cout << json::serialize(line) << std::endl;
 }
 
-void measure_rest(std::size_t size) {
+void measure_idle_fleet(std::size_t size) {
     const load_fleet fleet(size);
     const process_usage before = fleet.usage();
-    std::this_thread::sleep_for(rest_time);
+    std::this_thread::sleep_for(idle_time);
     const process_usage after = fleet.usage();
     const auto count = static_cast<double>(size);
     const double used =
         static_cast<double>((after.processor - before.processor).count());
     constexpr double ms_per_second = 1000;
-    const double time = std::chrono::duration<double>(rest_time).count();
+    const double time = std::chrono::duration<double>(idle_time).count();
     print({{"measurement", "at_rest"},
            {"instances", size},
            {"processor_percent", used / ms_per_second / time / count * 100.0},
@@ -235,19 +237,19 @@
 void measure_traffic(const load_fleet& fleet) {
     load_options direct{.target = fleet.service(),
                         .request = echo_request("/echo")};
-    load_options through{.target = fleet.caller(),
-                         .request = echo_request("/v1/services/plain/echo")};
+    load_options via_entry{.target = fleet.caller(),
+                           .request = echo_request("/v1/services/plain/echo")};
     measure(fleet, "direct_full", direct);
-    const load_result full = measure(fleet, "entry_full", through);
-    // Half of what went through, in both ways.
+    const load_result full = measure(fleet, "entry_full", via_entry);
+    // Repeats both measurements at half of the entry's maximum throughput.
     const double half = static_cast<double>(full.answers) / 2;
     const auto interval = std::chrono::duration_cast<std::chrono::microseconds>(
-        std::chrono::duration<double>(through.duration) *
-        static_cast<double>(through.connections) / std::max(half, 1.0));
+        std::chrono::duration<double>(via_entry.duration) *
+        static_cast<double>(via_entry.connections) / std::max(half, 1.0));
     direct.interval = interval;
-    through.interval = interval;
+    via_entry.interval = interval;
     measure(fleet, "direct_half", direct);
-    measure(fleet, "entry_half", through);
+    measure(fleet, "entry_half", via_entry);
 }
 
 void measure_stream(const load_fleet& fleet) {
@@ -288,7 +290,7 @@
     std::istringstream sizes(FLAGS_instances);
     std::string size;
     while (std::getline(sizes, size, ',')) {
-        measure_rest(std::stoul(size));
+        measure_idle_fleet(std::stoul(size));
     }
     const load_fleet fleet(1);
     for (std::uint32_t round = 0; round < FLAGS_rounds; ++round) {
--- a/tests/load/load_client.cpp
+++ b/tests/load/load_client.cpp
@@ -49,12 +49,12 @@
 
 } // namespace
 
-std::chrono::microseconds load_result::quantile(double part) const {
+std::chrono::microseconds load_result::quantile(double fraction) const {
     if (latencies.empty()) {
         return {};
     }
     return latencies[static_cast<std::size_t>(
-        part * static_cast<double>(latencies.size()))];
+        fraction * static_cast<double>(latencies.size()))];
 }
 
 load_result run_load(const load_options& options) {
--- a/tests/load/load_client.hpp
+++ b/tests/load/load_client.hpp
@@ -14,7 +14,8 @@
     http_request request;
     std::uint32_t connections = 16;
     std::chrono::milliseconds duration{3'000};
-    /// Each connection begins a request that often; 0 follows the answers.
+    /// Time between request starts on each connection; with 0, the next request
+    /// starts when the last response has arrived.
     std::chrono::microseconds interval{0};
 };
 
@@ -22,15 +23,16 @@
     std::uint64_t answers = 0;
     std::uint64_t failures = 0;
     std::uint64_t answer_bytes = 0;
-    /// Sorted.
+    /// Latencies of the successful requests, in ascending order.
     std::vector<std::chrono::microseconds> latencies;
 
-    /// Precondition: 0 <= part < 1. Zero without answers.
-    [[nodiscard]] std::chrono::microseconds quantile(double part) const;
+    /// The latency below which this fraction of the requests stayed; zero if
+    /// none succeeded. Precondition: 0 <= fraction < 1.
+    [[nodiscard]] std::chrono::microseconds quantile(double fraction) const;
 };
 
-/// Sends one request again and again on a thread of its own; bounded by the
-/// duration. Blocks.
+/// Sends the request repeatedly over all connections. Blocks until `duration`
+/// has passed and the last responses have arrived or timed out.
 [[nodiscard]] load_result run_load(const load_options& options);
 
 } // namespace savorydock
--- a/tests/load/process_usage.cpp
+++ b/tests/load/process_usage.cpp
@@ -9,7 +9,7 @@
 
 process_usage read_usage(pid_t process) {
     std::ifstream file("/proc/" + std::to_string(process) + "/stat");
-    // The name in parentheses may hold spaces.
+    // Skips the process name, which is in parentheses and may contain spaces.
     file.ignore(std::numeric_limits<std::streamsize>::max(), ')');
     std::string skipped;
     constexpr int fields_before_time = 11;
--- a/tests/load/process_usage.hpp
+++ b/tests/load/process_usage.hpp
@@ -6,13 +6,14 @@
 
 namespace savorydock {
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 struct process_usage {
     std::chrono::milliseconds processor{0};
     std::uint64_t resident_bytes = 0;
 };
 
-/// Reads a process's usage; all zero if it is gone. Thread safe.
+/// Reads the usage of a process; all values are zero if it no longer exists.
+/// Thread safe.
 [[nodiscard]] process_usage read_usage(pid_t process);
 
 } // namespace savorydock
