--- a/core/base64.cpp
+++ b/core/base64.cpp
@@ -32,8 +32,7 @@
         return std::string();
     }
     if (text.size() % characters_per_group != 0) {
-        return failure{result_code::bad_frame,
-                       "base64 length is not a multiple of four"};
+        return failure{result_code::bad_frame, "base64 of an odd length"};
     }
     std::string bytes(text.size() / characters_per_group * bytes_per_group,
                       '\0');
@@ -41,7 +40,7 @@
         EVP_DecodeBlock(reinterpret_cast<unsigned char*>(bytes.data()),
                         as_octets(text), static_cast<int>(text.size()));
     if (length < 0) {
-        return failure{result_code::bad_frame, "invalid base64"};
+        return failure{result_code::bad_frame, "not base64"};
     }
     // EVP_DecodeBlock counts the padding as data.
     std::size_t padding = text.ends_with('=') ? 1 : 0;
--- a/core/object_reader.cpp
+++ b/core/object_reader.cpp
@@ -46,8 +46,7 @@
     return failure{result_code::invalid_json,
                    "line " + std::to_string(line) + ", column " +
                        std::to_string(consumed - line_start + 1) + ": " +
-                       (error ? error.message()
-                              : "unexpected text after the end of the value")};
+                       (error ? error.message() : "text after the end")};
 }
 
 object_reader::object_reader(const json::value& value, std::string path,
--- a/drivers/batch/job_store.cpp
+++ b/drivers/batch/job_store.cpp
@@ -302,7 +302,7 @@
 }
 
 asio::awaitable<outcome<done>> job_store::end(job_id job) {
-    failure last{result_code::store_unanswered, "no attempt was made"};
+    failure last{result_code::store_unanswered, "not tried"};
     for (int tries = 0; tries < max_end_tries; ++tries) {
         const auto value = co_await client_.read_key(job_key(job));
         if (!value) {
--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -164,9 +164,8 @@
         co_return make_failed(
             true, failure{result_code::failed_by_upstream,
                           is_for_this_call
-                              ? "a success without the upstream's signature or "
-                                "with a content encoding"
-                              : "the answer belongs to another request"});
+                              ? "a success without the upstream's signature"
+                              : "an answer to another request"});
     }
     guard.end(call_outcome::answered);
     attempt_result result{.answer = std::move(*answer), .may_have_run = true};
--- a/drivers/http/http_client.cpp
+++ b/drivers/http/http_client.cpp
@@ -238,9 +238,8 @@
             }
         }
         if (parser_.need_eof() && pool_->unframed == unframed_answer::refuse) {
-            co_return failure{
-                result_code::failed_truncated,
-                "the response has neither a length nor an end marker"};
+            co_return failure{result_code::failed_truncated,
+                              "the answer has no length or end mark"};
         }
         release();
         co_return std::string();
@@ -307,8 +306,7 @@
     const auto message = convert(address, std::move(request));
     used->stream.expires_at(deadline);
     if (std::chrono::steady_clock::now() >= last_write) {
-        co_return failure{result_code::not_run_deadline,
-                          "the deadline has passed"};
+        co_return failure{result_code::not_run_deadline, "no time is left"};
     }
     const auto [error, size] =
         co_await http::async_write(used->stream, message, await);
@@ -370,8 +368,8 @@
                                      result),
                    asio::detached);
     context.run();
-    return result.value_or(failure{result_code::unknown_upstream_lost,
-                                   "the call ended without a result"});
+    return result.value_or(
+        failure{result_code::unknown_upstream_lost, "the call was dropped"});
 }
 
 } // namespace savorydock
--- a/drivers/store/store_client.cpp
+++ b/drivers/store/store_client.cpp
@@ -27,7 +27,7 @@
 constexpr unsigned status_too_many = 429;
 constexpr unsigned status_server_error = 500;
 /// The detail of a call that was cancelled on this side.
-constexpr const char* cancelled_detail = "cancelled";
+constexpr const char* cancelled_detail = "given up";
 
 bool is_refusal(const http_response& response) {
     return response.status >= status_server_error ||
--- a/drivers/upstream_http/upstream_client.cpp
+++ b/drivers/upstream_http/upstream_client.cpp
@@ -178,14 +178,14 @@
             }
             if (!co_await sink(*event)) {
                 co_return failure{result_code::cancelled_by_caller,
-                                  "the response is no longer needed"};
+                                  "the answer is not wanted any more"};
             }
         }
     }
     if (!has_ended) {
         evidence.evidence = upstream_evidence::connection_lost;
         co_return failure{result_code::failed_truncated,
-                          "the stream ended without an end marker"};
+                          "the stream has no end mark"};
     }
     co_return done{};
 }
--- a/servers/batch/job_keys.cpp
+++ b/servers/batch/job_keys.cpp
@@ -70,7 +70,7 @@
 outcome<job_record> decode_job_record(std::string_view key,
                                       std::string_view text) {
     const failure invalid{result_code::invalid_document,
-                          "not a valid job record"};
+                          "not a record of a job"};
     if (!key.starts_with(job_prefix)) {
         return invalid;
     }
--- a/servers/delivery/answer_assembler.cpp
+++ b/servers/delivery/answer_assembler.cpp
@@ -101,7 +101,7 @@
 outcome<std::vector<version_range>> answer_assembler::versions() const {
     if (verdict_ != answer_verdict::complete) {
         return failure{result_code::failed_truncated,
-                       "the answer is not complete"};
+                       "the answer is not whole"};
     }
     return labels_.finish(next_token_);
 }
