--- a/drivers/batch/engine_driver.cpp
+++ b/drivers/batch/engine_driver.cpp
@@ -18,19 +18,19 @@
 
 namespace {
 
-/// How often runners get a sign of life from their planner and are checked for
-/// lost runs.
+/// How often a planner sends heartbeats to its runners and checks them for lost
+/// runs.
 constexpr std::chrono::milliseconds runner_check_interval{500};
-/// Upstreams answer orders at once; after this time the roller tries again.
+/// Upstreams answer orders immediately; after this time the roll-out retries.
 constexpr std::chrono::milliseconds order_timeout{800};
 /// Pause before a job is read again after a failed read or a superseded commit.
 constexpr std::chrono::milliseconds load_retry_delay{150};
 constexpr std::chrono::milliseconds drain_check_interval{50};
 /// Scoring calls use at most this share of the slots of plain services; the
-/// rest stays free for other callers of the same upstreams.
+/// rest is reserved for other callers of the same upstreams.
 constexpr double max_scoring_share = 0.5;
-/// When more locations are known, all are forgotten. That is safe: instances
-/// drop the results of ended jobs without being told.
+/// When more locations are known, all are removed. That is safe, because
+/// instances drop the results of ended jobs without a release order.
 constexpr std::size_t max_result_locations = 8'192;
 
 std::string to_word(order_answer answer) {
@@ -161,10 +161,10 @@
         unanswered_takeovers_.insert(instance);
     }
     unanswered_takeovers_.insert(options_.self);
-    // Iterates over a copy: this instance answers at once, which changes the
-    // original.
-    const std::set<instance_id> asked = unanswered_takeovers_;
-    for (const instance_id& instance : asked) {
+    // Iterates over a copy: this instance answers during the loop, which
+    // changes the original.
+    const std::set<instance_id> recipients = unanswered_takeovers_;
+    for (const instance_id& instance : recipients) {
         send_order_to(instance, {.is_takeover = true});
     }
 }
@@ -222,21 +222,21 @@
 }
 
 job_settings engine_driver::job_settings_of(const job_record& record) const {
-    job_settings terms;
+    job_settings settings;
     if (!fleet_.routes) {
-        return terms;
+        return settings;
     }
     for (const route_rule& route : fleet_.routes->configuration().routes) {
         if (route.name != record.route) {
             continue;
         }
-        terms.target = route.batch_target;
-        terms.time_to_live = route.batch_time_to_live;
-        terms.max_attempts = std::max<std::uint32_t>(1, route.max_attempts);
-        terms.priority = route.priority;
-        terms.is_single_version = route.is_single_version;
+        settings.target = route.batch_target;
+        settings.time_to_live = route.batch_time_to_live;
+        settings.max_attempts = std::max<std::uint32_t>(1, route.max_attempts);
+        settings.priority = route.priority;
+        settings.is_single_version = route.is_single_version;
     }
-    return terms;
+    return settings;
 }
 
 void engine_driver::on_jobs_changed() {
@@ -297,11 +297,12 @@
             continue;
         }
         post_step([record, accepted, saved, loaded = std::move(*loaded),
-                   terms = job_settings_of(record)](engine_control& control,
-                                                    steady_time now,
-                                                    engine_commands& out) {
-            control.planner().on_job(record, loaded.job, terms, loaded.listed,
-                                     saved, accepted, now, out.planner);
+                   settings = job_settings_of(record)](engine_control& control,
+                                                       steady_time now,
+                                                       engine_commands& out) {
+            control.planner().on_job(record, loaded.job, settings,
+                                     loaded.listed, saved, accepted, now,
+                                     out.planner);
         });
         break;
     }
@@ -315,14 +316,14 @@
             own.push_back(entry);
         }
     }
-    engine_settings terms;
+    engine_settings settings;
     std::size_t scoring_slots = 0;
     if (fleet_.routes) {
         const service_rule* const rule =
             fleet_.routes->find_service(options_.service);
         if (rule != nullptr && rule->engine) {
-            terms.cache_tokens = rule->engine->cache_tokens;
-            terms.tokens_per_event =
+            settings.cache_tokens = rule->engine->cache_tokens;
+            settings.tokens_per_event =
                 std::max<std::uint64_t>(1, rule->engine->tokens_per_event);
         }
         for (const service_rule& service :
@@ -331,13 +332,13 @@
                 service.engine ? 0 : fleet_.pool.slots_of(service.name);
         }
     }
-    terms.scoring_slots = std::max<std::size_t>(
+    settings.scoring_slots = std::max<std::size_t>(
         1, static_cast<std::size_t>(max_scoring_share *
                                     static_cast<double>(scoring_slots)));
-    post_step([own = std::move(own), terms](engine_control& control,
-                                            steady_time now,
-                                            engine_commands& out) {
-        control.on_upstreams(own, terms, now, out);
+    post_step([own = std::move(own), settings](engine_control& control,
+                                               steady_time now,
+                                               engine_commands& out) {
+        control.on_upstreams(own, settings, now, out);
     });
     on_jobs_changed();
 }
@@ -405,13 +406,14 @@
 
 void engine_driver::execute_one(start_run& command) {
     const upstream_entry* const upstream = find_upstream(command.upstream);
-    std::optional<runner_preference> wish;
+    std::optional<runner_preference> preference;
     if (upstream != nullptr) {
-        wish =
+        preference =
             runner_preference{.zone = upstream->zone, .upstream = upstream->id};
     }
-    const instance_id runner = runners_.assign(
-        command.ticket, directory_, std::chrono::steady_clock::now(), wish);
+    const instance_id runner =
+        runners_.assign(command.ticket, directory_,
+                        std::chrono::steady_clock::now(), preference);
     orders_[runner].tasks.push_back(make_task(command));
 }
 
@@ -421,7 +423,7 @@
     instance_id runner;
     if (location != result_locations_.end() &&
         directory_.contains(location->second)) {
-        // Scores on the instance that made the text, so that few instances
+        // Scores on the instance that ran the item, so that few instances
         // connect to the scorers.
         runner = location->second;
         runners_.adopt(command.ticket, runner, now);
@@ -432,10 +434,10 @@
 }
 
 void engine_driver::execute_one(release_run& command) {
-    const auto place = result_locations_.find(command.ticket);
-    if (place != result_locations_.end()) {
-        pending_releases_[place->second].push_back(command.ticket);
-        result_locations_.erase(place);
+    const auto location = result_locations_.find(command.ticket);
+    if (location != result_locations_.end()) {
+        pending_releases_[location->second].push_back(command.ticket);
+        result_locations_.erase(location);
     }
 }
 
@@ -622,7 +624,7 @@
 asio::awaitable<void> engine_driver::send_order(version_order order) {
     const upstream_entry* const upstream = find_upstream(order.upstream);
     // Checks the term right before sending: the machine may have been suspended
-    // since the roller issued the order.
+    // since the roll-out issued the order.
     const bool is_held =
         term_.is_held_now() && term_.term()->revision == order.fencing;
     order_answer answer = order_answer::unknown;
--- a/drivers/batch/engine_driver.hpp
+++ b/drivers/batch/engine_driver.hpp
@@ -45,8 +45,8 @@
 /// competes for the service's term, assigns the runs that the planner starts to
 /// instances, lists results and sends version orders to engines.
 ///
-/// All methods must be called on the traffic thread. Planner and roller run on
-/// the control thread.
+/// All methods must be called on the traffic thread. The planner and the
+/// roll-out run on the control thread.
 class engine_driver {
 public:
     /// All references must outlive `context`.
@@ -93,7 +93,8 @@
     void send_orders();
     void send_order_to(const instance_id& runner, runner_command order);
     void schedule_runner_check();
-    /// Asks all instances which runs and results of earlier planners they hold.
+    /// Requests from all instances the runs and results of earlier planners
+    /// that they hold.
     void begin_takeover();
     void adopt_held_runs(const instance_id& runner, std::vector<held_run> held);
     [[nodiscard]] run_task make_task(const start_run& command) const;
--- a/drivers/batch/item_runner.hpp
+++ b/drivers/batch/item_runner.hpp
@@ -18,14 +18,14 @@
 /// The output of a run. Owned outside the run's coroutine, so that it survives
 /// a cancellation.
 struct run_record {
-    /// The text from the first event on, including what earlier runs made.
+    /// The text from the first event on, including the output of earlier runs.
     item_progress progress;
     /// The part that was reported already: counts of events, bytes and
     /// versions.
     std::uint64_t reported_events = 0;
     std::size_t reported_bytes = 0;
     std::size_t reported_versions = 0;
-    /// The run was asked to stop.
+    /// A stop was requested.
     bool is_stopped = false;
 
     /// The record of a run that resumes after `text`.
--- a/drivers/batch/job_store.cpp
+++ b/drivers/batch/job_store.cpp
@@ -251,9 +251,9 @@
 
 asio::awaitable<outcome<std::shared_ptr<const batch_job>>>
 job_store::read_submission(job_record record) {
-    for (const auto& kept : cached_submissions_) {
-        if (kept->id == record.id) {
-            co_return kept;
+    for (const auto& cached : cached_submissions_) {
+        if (cached->id == record.id) {
+            co_return cached;
         }
     }
     const auto page = co_await client_.read_range(submission_prefix(record.id));
--- a/drivers/batch/job_store.hpp
+++ b/drivers/batch/job_store.hpp
@@ -43,7 +43,7 @@
     std::vector<item_id> listed;
 };
 
-/// Keeps batch jobs in the platform's store: their submissions, results and
+/// Stores batch jobs in the platform's store: their submissions, results and
 /// ends. Not thread safe: all calls must come from one traffic thread.
 ///
 /// Errors of reads: `not_found` if the job does not exist. Any other error is
@@ -54,7 +54,7 @@
     job_store(store_client& client, logger& log);
 
     /// The record of a job changed, or was removed if there is none. A job that
-    /// has ended stays ended, whatever older records arrive later.
+    /// has ended stays ended, even if an older record arrives later.
     void on_record(const job_id& job, std::optional<job_record> record);
 
     [[nodiscard]] const std::map<job_id, job_record>& records() const {
--- a/drivers/batch/run_host.cpp
+++ b/drivers/batch/run_host.cpp
@@ -12,14 +12,15 @@
 /// How often new events are reported to planners.
 constexpr std::chrono::milliseconds report_period{400};
 /// Runs are stopped if their planner has sent nothing for this time. Planners
-/// send a sign of life at least twice a second. A failed planner's lease of 3 s
+/// send heartbeats at least twice a second. A failed planner's lease of 3 s
 /// expires and another instance claims the term within a second, so a takeover
 /// would have come by then.
 constexpr std::chrono::milliseconds planner_timeout{5'000};
 /// Results that are not released are dropped after this time; a new planner
-/// asks for them within seconds.
+/// requests them within seconds.
 constexpr std::chrono::milliseconds result_retention{20'000};
-/// At about 10 KB each, a tenth of the smallest machine's memory.
+/// Maximum number of kept results. At about 10 KB each, they use a tenth of the
+/// smallest machine's memory.
 constexpr std::size_t max_kept_results = 1'500;
 
 std::string to_word(run_end end) {
--- a/drivers/batch/run_host.hpp
+++ b/drivers/batch/run_host.hpp
@@ -23,7 +23,7 @@
 };
 
 /// Runs items for the planners of all services, on this instance or others, and
-/// reports their progress: new events in batches, ends at once.
+/// reports their progress: new events in batches, ends immediately.
 ///
 /// Runs outlive their planner: complete texts and scores are kept until they
 /// are listed, and the planner of a later term takes over all runs and results.
--- a/drivers/front/front_service.cpp
+++ b/drivers/front/front_service.cpp
@@ -174,13 +174,13 @@
         co_return;
     }
     plain_call_result result = std::get<0>(std::move(outcome));
-    const auto taken = now() - begin;
+    const auto elapsed = now() - begin;
     metrics_.observe({.service = route.services.empty()
                                      ? service_name()
                                      : route.services.front().service,
                       .class_of_service = class_name(to_word(route.kind)),
                       .name = "request_seconds"},
-                     taken);
+                     elapsed);
     if (result.answer) {
         ++counters_.answered;
         log_.write(
@@ -190,7 +190,8 @@
                 std::to_string(result.answer->status) + " attempts=" +
                 std::to_string(result.attempts) + " milliseconds=" +
                 std::to_string(
-                    std::chrono::duration_cast<std::chrono::milliseconds>(taken)
+                    std::chrono::duration_cast<std::chrono::milliseconds>(
+                        elapsed)
                         .count()));
         http_response response = std::move(*result.answer);
         response.headers = platform::forward_answer_headers(response.headers);
@@ -237,11 +238,11 @@
         tried.insert(upstream->id);
         const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
             deadline - now());
-        const platform::forwarding_metadata marks{.upstream = upstream->id,
-                                                  .time_left = left,
-                                                  .last_event = last_event};
+        const platform::forwarding_metadata metadata{.upstream = upstream->id,
+                                                     .time_left = left,
+                                                     .last_event = last_event};
         http_request request =
-            platform::forward_request(exchange.request(), marks);
+            platform::forward_request(exchange.request(), metadata);
         auto opened =
             co_await stream_client_.open(upstream->address, std::move(request),
                                          deadline, connection_use::fresh);
@@ -291,18 +292,19 @@
             if (end == std::string::npos) {
                 continue;
             }
-            const std::string whole =
+            const std::string complete_events =
                 buffer.substr(0, end + event_separator.size());
-            buffer.erase(0, whole.size());
-            const std::size_t last_begin = whole.rfind(
-                event_separator, whole.size() - event_separator.size() - 1);
-            const auto event =
-                platform::decode_item_event(std::string_view(whole).substr(
-                    last_begin == std::string::npos
-                        ? 0
-                        : last_begin + event_separator.size()));
+            buffer.erase(0, complete_events.size());
+            const std::size_t last_begin = complete_events.rfind(
+                event_separator,
+                complete_events.size() - event_separator.size() - 1);
+            const auto event = platform::decode_item_event(
+                std::string_view(complete_events)
+                    .substr(last_begin == std::string::npos
+                                ? 0
+                                : last_begin + event_separator.size()));
             last_event = event.number ? event.number : last_event;
-            if (!co_await exchange.write_chunk(whole)) {
+            if (!co_await exchange.write_chunk(complete_events)) {
                 co_return;
             }
         }
--- a/drivers/front/plain_caller.cpp
+++ b/drivers/front/plain_caller.cpp
@@ -128,13 +128,14 @@
 plain_caller::try_upstream(const plain_call_request& call,
                            const upstream_entry& upstream,
                            steady_time deadline) {
-    platform::forwarding_metadata marks{.upstream = upstream.id};
+    platform::forwarding_metadata metadata{.upstream = upstream.id};
     if (call.must_forward_deadline) {
-        marks.time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
-            call.deadline - std::chrono::steady_clock::now());
+        metadata.time_left =
+            std::chrono::duration_cast<std::chrono::milliseconds>(
+                call.deadline - std::chrono::steady_clock::now());
     }
     call_guard guard(fleet_.pool, upstream.id);
-    http_request request = platform::forward_request(call.request, marks);
+    http_request request = platform::forward_request(call.request, metadata);
     const connection_use use = call.route.kind == request_kind::idempotent
                                    ? connection_use::reuse
                                    : connection_use::fresh;
@@ -146,18 +147,20 @@
             classify(answer.reason().code) != result_class::not_run;
         co_return make_failed(may_have_begun, answer.reason());
     }
-    const auto answer_marks = platform::decode_answer_metadata(answer->headers);
-    if (answer_marks.is_not_run || answer->status == status_misdirected) {
+    const auto answer_metadata =
+        platform::decode_answer_metadata(answer->headers);
+    if (answer_metadata.is_not_run || answer->status == status_misdirected) {
         guard.end(answer->status == status_misdirected ? call_outcome::failed
                                                        : call_outcome::full);
         co_return make_failed(
             false, failure{result_code::not_run_refused_by_upstream,
                            "status " + std::to_string(answer->status)});
     }
-    const bool is_for_this_call = answer_marks.request == call.id;
+    const bool is_for_this_call = answer_metadata.request == call.id;
+    // A valid success has a signature and no content encoding.
     const bool is_invalid_success =
         is_success(answer->status) &&
-        (answer_marks.stamp.empty() ||
+        (answer_metadata.stamp.empty() ||
          !answer->header("Content-Encoding").empty());
     if (!is_for_this_call || is_invalid_success) {
         guard.end(call_outcome::failed);
--- a/drivers/node/fleet_mirror.cpp
+++ b/drivers/node/fleet_mirror.cpp
@@ -7,7 +7,8 @@
 namespace {
 
 /// Upstreams whose entries expired during a store outage register again about
-/// two seconds after the store is back, as the store's protocol states.
+/// two seconds after the store is reachable again, as the store's protocol
+/// states.
 constexpr std::chrono::milliseconds reregistration_time{2'200};
 
 } // namespace
--- a/drivers/node/fleet_mirror.hpp
+++ b/drivers/node/fleet_mirror.hpp
@@ -20,7 +20,7 @@
     std::function<void()> on_fleet_update;
     /// A newer weight version of a model is wanted.
     std::function<void(const std::string& model, weight_version)> on_version;
-    /// An operator asked to retire a store machine.
+    /// An operator requested to retire a store machine.
     std::function<void(const std::string& machine)> on_retirement;
 };
 
--- a/drivers/node/node_instance.cpp
+++ b/drivers/node/node_instance.cpp
@@ -143,7 +143,7 @@
     control_mailbox control_;
     store_client store_;
     fleet_state fleet_;
-    /// An engine's stream ends by its framing only. A plain service's answer
+    /// An engine's stream must end by its framing. A plain service's answer
     /// without a length ends when its connection closes.
     http_client engine_client_;
     http_client plain_client_;
@@ -413,7 +413,7 @@
             (key->first == own_key ? own : others).push_back(feeder);
         }
     }
-    // Each instance begins with a different feeder to spread the load.
+    // Each instance starts with a different feeder to spread the load.
     if (!others.empty()) {
         const auto first =
             stable_hash(settings_.instance.text()) % others.size();
@@ -656,8 +656,8 @@
             asio::co_spawn(context_, registration_.retire(), asio::detached);
             reported_at = now + report_delivery_time;
         }
-        const bool is_over = is_idle && now >= begin + rotation_exit_time;
-        if (reported_at && now >= *reported_at && (is_over || now >= last)) {
+        const bool may_exit = is_idle && now >= begin + rotation_exit_time;
+        if (reported_at && now >= *reported_at && (may_exit || now >= last)) {
             // Must not suspend after this point: a request that arrived on an
             // open connection meanwhile would be cut off.
             caller_server_->stop_accepting();
@@ -688,17 +688,17 @@
         return;
     }
     settings_text_ = std::move(*text);
-    const auto fresh = platform::read_settings(settings_text_);
-    if (!fresh) {
-        log_.write(log_event::settings_invalid, fresh.reason().detail);
+    const auto reloaded = platform::read_settings(settings_text_);
+    if (!reloaded) {
+        log_.write(log_event::settings_invalid, reloaded.reason().detail);
         return;
     }
-    store_.set_limits(fresh->store);
-    settings_.shutdown_grace = fresh->shutdown_grace;
-    settings_.store = fresh->store;
+    store_.set_limits(reloaded->store);
+    settings_.shutdown_grace = reloaded->shutdown_grace;
+    settings_.store = reloaded->store;
     log_.write(log_event::settings_reloaded,
                "cause=" + std::string(cause) +
-                   " store=" + to_text(fresh->store.address));
+                   " store=" + to_text(reloaded->store.address));
 }
 
 asio::awaitable<void> node_instance::impl::check_settings() {
--- a/servers/batch/engine_control.hpp
+++ b/servers/batch/engine_control.hpp
@@ -19,8 +19,8 @@
 };
 
 /// Control of one engine service. Connects its item planner with its version
-/// roller: the planner avoids engines that load weights, and the roller sees
-/// which runs and versions the planner needs.
+/// roll-out: the planner avoids engines that load weights, and the roll-out
+/// sees which runs and versions the planner needs.
 ///
 /// Not thread safe; deterministic.
 class engine_control {
@@ -40,14 +40,14 @@
                       const engine_settings& settings, steady_time now,
                       engine_commands& out);
 
-    /// Runs all due work of roller and planner. Must be called after each input
-    /// to `planner()` or `roller()`.
+    /// Runs all due work of the roll-out and the planner. Must be called after
+    /// each input to `planner()` or `rollout()`.
     void advance(steady_time now, engine_commands& out);
 
     [[nodiscard]] std::optional<steady_time> next_wakeup() const;
 
 private:
-    /// Gives the roller access to the planner's work on the engines.
+    /// Gives the roll-out access to the planner's work on the engines.
     class planner_work final : public engine_workload {
     public:
         explicit planner_work(const item_planner& planner)
--- a/servers/batch/engine_roster.cpp
+++ b/servers/batch/engine_roster.cpp
@@ -10,7 +10,7 @@
 /// Weight of a new sample in the smoothed time per event.
 constexpr double event_smoothing = 0.3;
 /// Relative cost that full slots add to an engine. It is larger than the real
-/// slow-down of some percent, so that runs spread over engines and the failure
+/// slow-down of a few percent, so that runs spread over engines and the failure
 /// of one engine affects few of them.
 constexpr double batch_cost = 0.25;
 /// Added cost of an engine that failed on the item; puts it after all others.
--- a/servers/batch/engine_roster.hpp
+++ b/servers/batch/engine_roster.hpp
@@ -67,7 +67,7 @@
 /// Load pattern: engines differ in speed, slow down for seconds, fail, load
 /// weights and run out of cache. The fastest engine with a free slot is chosen.
 /// The share of occupied slots breaks ties, because six concurrent runs slow
-/// each stream down by some percent.
+/// each stream down by a few percent.
 ///
 /// Not thread safe; deterministic.
 class engine_roster {
--- a/servers/batch/item_planner.cpp
+++ b/servers/batch/item_planner.cpp
@@ -206,11 +206,11 @@
 bool item_planner::is_reusable(const item_progress& progress,
                                const job_state& job) {
     const auto& versions = progress.versions;
-    const bool is_fresh =
+    const bool is_allowed =
         std::all_of(versions.begin(), versions.end(), [&](auto version) {
             return version >= job.submission->min_version;
         });
-    return is_fresh && !job.settings.is_single_version;
+    return is_allowed && !job.settings.is_single_version;
 }
 
 void item_planner::reuse_retained_texts(job_state& job) {
@@ -320,7 +320,7 @@
 
 void item_planner::record_speed(const run_state& run, std::uint64_t events,
                                 steady_time now) {
-    // The time of the first events is not measured: it includes the wait for a
+    // The time of the first events is not recorded: it includes the wait for a
     // slot and the processing of the prompt.
     if (events > run.progress.events &&
         run.progress.events > run.initial_events) {
@@ -840,13 +840,14 @@
 
 weight_version
 item_planner::min_allowed_version(const std::string& model) const {
-    weight_version least = 0;
+    weight_version oldest_allowed = 0;
     for (const auto& [id, job] : jobs_) {
         if (job.submission->model == model) {
-            least = std::max(least, job.submission->min_version);
+            oldest_allowed =
+                std::max(oldest_allowed, job.submission->min_version);
         }
     }
-    return least;
+    return oldest_allowed;
 }
 
 bool item_planner::has_waiting(const std::string& model) const {
--- a/servers/batch/item_planner.hpp
+++ b/servers/batch/item_planner.hpp
@@ -24,8 +24,8 @@
 /// that generated it.
 struct item_progress {
     std::string text;
-    /// Number of stream events in the text. A run that resumes the text asks
-    /// the engine for the next event.
+    /// Number of stream events in the text. A run that resumes the text
+    /// requests the next event from the engine.
     std::uint64_t events = 0;
     std::vector<weight_version> versions;
 };
@@ -355,7 +355,7 @@
         item_phase phase = item_phase::waiting;
         std::uint32_t failures = 0;
         std::uint32_t moves = 0;
-        /// Estimated number of tokens of the whole text.
+        /// Estimated number of tokens of the complete text.
         std::uint64_t expected_tokens = 0;
         std::uint64_t prompt_tokens = 0;
         item_progress progress;
--- a/servers/batch/run_message.hpp
+++ b/servers/batch/run_message.hpp
@@ -46,7 +46,7 @@
                        after_event, text, versions))
 
 /// Message from the planner of a service to an instance that runs its items.
-/// Without any task or ticket it serves as a heartbeat of the planner.
+/// Without tasks or tickets it serves as a heartbeat of the planner.
 struct runner_command {
     service_name service;
     /// Runs and scorings to start.
@@ -56,8 +56,7 @@
     /// The planner's term. The receiver ignores commands of an older term than
     /// the latest it knows.
     store_revision term = 0;
-    /// The planner is new and asks the instance to report all runs that it
-    /// holds.
+    /// The planner is new and the instance must report all runs that it holds.
     bool is_takeover = false;
     /// Runs and scorings whose results are listed; the instance may drop them.
     std::vector<run_ticket> released;
--- a/servers/batch/runner_pool.hpp
+++ b/servers/batch/runner_pool.hpp
@@ -35,7 +35,7 @@
     std::chrono::milliseconds silence_timeout{1'500};
 };
 
-/// Where a run should preferably be carried out.
+/// Preferred location of the instance that handles a run.
 struct runner_preference {
     /// The zone of the run's engine.
     availability_zone zone;
@@ -47,11 +47,11 @@
 ///
 /// Load pattern: one planner, possibly on the smallest machine of the fleet,
 /// starts hundreds of concurrent streams. Runs are distributed by processor
-/// share; a few stay on the planner's instance, many are spread.
+/// share: a few stay on the planner's instance, many are distributed.
 ///
 /// Runs of one engine go to the same instance in the engine's zone as long as
-/// it has room. This reuses connections, keeps the traffic within the zone, and
-/// the runs survive the loss of a planner on another instance.
+/// it has capacity. This reuses connections and keeps the traffic within the
+/// zone, and the runs survive the loss of a planner on another instance.
 ///
 /// Not thread safe; deterministic.
 class runner_pool {
--- a/servers/fleet/upstream_entry.hpp
+++ b/servers/fleet/upstream_entry.hpp
@@ -17,7 +17,7 @@
     endpoint address;
     availability_zone zone;
     std::uint32_t slots = 1;
-    /// It finishes its current requests and accepts no new ones.
+    /// The upstream finishes its current requests and accepts no new ones.
     bool is_draining = false;
     /// Start time of its process in Unix milliseconds; 0 if not stated.
     std::uint64_t started_at = 0;
--- a/servers/step_schedule/step_schedule.cpp
+++ b/servers/step_schedule/step_schedule.cpp
@@ -211,13 +211,13 @@
     if (paces.empty()) {
         return;
     }
-    const auto middle =
+    const auto median =
         paces.begin() + static_cast<std::ptrdiff_t>(paces.size() / 2);
-    std::nth_element(paces.begin(), middle, paces.end());
+    std::nth_element(paces.begin(), median, paces.end());
     // The last runs of a step may all be slow; they do not lower the typical
     // pace.
     typical_pace_ =
-        waiting_.empty() ? std::max(typical_pace_, *middle) : *middle;
+        waiting_.empty() ? std::max(typical_pace_, *median) : *median;
 }
 
 duration_seconds step_schedule::remaining_time(const run_entry& run,
--- a/servers/step_schedule/step_schedule.hpp
+++ b/servers/step_schedule/step_schedule.hpp
@@ -90,10 +90,10 @@
     /// upstream had capacity.
     void put_back(slot_place slot);
 
-    /// Notes that a run has started on weights of `version`.
+    /// Records that a run has started on weights of `version`.
     void begin(const run_key& run, weight_version version, steady_time now);
 
-    /// Notes that a run has `tokens` tokens so far.
+    /// Records that a run has `tokens` tokens so far.
     void progress(const run_key& run, std::uint32_t tokens, steady_time now);
 
     /// Excludes the time since the run's last token from its pace and from
@@ -105,14 +105,14 @@
     /// unless another run of it is in flight.
     void remove_run(const run_key& run);
 
-    /// Notes that the slot has its answer and removes all of its runs.
+    /// Records that the slot has its answer and removes all of its runs.
     void finish(slot_place slot);
 
-    /// Notes that the slot's answer was discarded; the slot waits again.
+    /// Records that the slot's answer was discarded; the slot waits again.
     void reopen(slot_place slot);
 
     /// Returns actions for the runs in flight. Call it about once a second,
-    /// carry out every action and report its result. Runs to be restarted or
+    /// execute every action and report its result. Runs to be restarted or
     /// resumed elsewhere are removed from the schedule.
     [[nodiscard]] std::vector<straggler_action> review(steady_time now);
 
--- a/servers/step_schedule/weights_forecast.hpp
+++ b/servers/step_schedule/weights_forecast.hpp
@@ -12,7 +12,7 @@
 /// arrive from the intervals between past versions. Not thread safe.
 class weights_forecast {
 public:
-    /// Notes that `newest` is now the newest version; ignores versions that
+    /// Records that `newest` is now the newest version; ignores versions that
     /// are not newer than the known one.
     void observe(weight_version newest, steady_time now);
 
--- a/servers/versions/version_order.hpp
+++ b/servers/versions/version_order.hpp
@@ -25,7 +25,7 @@
 enum class order_answer : std::uint8_t {
     accepted,
     already_holds,
-    /// Another order is being carried out, or the number of accepted orders
+    /// Another order is in progress, or the number of accepted orders
     /// differs.
     conflict,
     /// It has seen a higher fencing number.
--- a/servers/versions/version_rollout.cpp
+++ b/servers/versions/version_rollout.cpp
@@ -330,8 +330,8 @@
                                       progress.ordered_at.at(model) +
                                           options_.confirm_time)
                            : progress.not_before;
-            // Work that is already due waits for other loads to end, and
-            // those cause an input or a wakeup of their own.
+            // Work that is already due waits for other loads to end, which
+            // causes an input or a separate wakeup.
             if (due > last_advance_) {
                 consider(due);
             }
--- a/servers/versions/version_rollout.hpp
+++ b/servers/versions/version_rollout.hpp
@@ -119,7 +119,7 @@
         /// The last accepted version by model.
         std::map<std::string, weight_version> ordered;
         std::map<std::string, steady_time> ordered_at;
-        /// The order that is in flight or being carried out.
+        /// The order that is in flight or in progress.
         std::optional<version_order> current;
         bool is_accepted = false;
         /// The number of accepted orders is not known and must be requested.
--- a/servers/weights/rollout_planner.hpp
+++ b/servers/weights/rollout_planner.hpp
@@ -22,7 +22,7 @@
     explicit rollout_planner(rollout_options options = {});
 
     /// Sets the goal from the service document. A changed target starts a new
-    /// roll-out, also if the previous one was stopped. If the previous one was
+    /// roll-out, even if the previous one was stopped. If the previous one was
     /// not finished, its version is logged as skipped.
     void set_goal(const rollout_goal& goal, command_list& out);
 
--- a/tests/drivers/batch/run_host_test.cpp
+++ b/tests/drivers/batch/run_host_test.cpp
@@ -24,7 +24,8 @@
 
     void order(run_ticket ticket, const std::string& job) {
         runner_command one{.service = service_name("e"), .term = term};
-        // Nothing listens at the address, so a run that starts fails at once.
+        // Nothing listens at the address, so a run that starts fails
+        // immediately.
         one.tasks.push_back({.ticket = ticket,
                              .job = job_id(job),
                              .id = "i",
--- a/tests/servers/batch/item_planner_test.cpp
+++ b/tests/servers/batch/item_planner_test.cpp
@@ -325,8 +325,8 @@
     planner.on_committed(job_id("j"), first[0].number, commit_end::not_listed,
                          now, commands);
     // The retry must wait also for the last results of a job, which are
-    // otherwise committed at once. Without the delay, a store that refused
-    // writes got a retry every 20 ms.
+    // otherwise committed immediately. Without the delay, a store that refused
+    // writes received a retry every 20 ms.
     step();
     EXPECT_TRUE(take_commands<commit_results>().empty());
     now += 220ms;
@@ -517,9 +517,9 @@
     EXPECT_TRUE(take_commands<stop_run>().empty());
 }
 
-// A trainer uses a group once it is complete, so a complete group is listed at
-// once. Results of incomplete groups wait and share a write, which halves the
-// writes of a job.
+// A trainer uses a group once it is complete, so a complete group is listed
+// immediately. Results of incomplete groups wait and share a write, which
+// halves the writes of a job.
 TEST_F(item_planner_test,
        results_of_incomplete_groups_wait_for_a_complete_group) {
     set_engines(1, 4);
--- a/tests/servers/versions/version_rollout_test.cpp
+++ b/tests/servers/versions/version_rollout_test.cpp
@@ -172,7 +172,7 @@
         accept(next);
         finish(next);
     }
-    FAIL() << "the engine was not ordered again";
+    FAIL() << "the engine got no second order";
 }
 
 TEST_F(version_rollout_test, unanswered_order_requests_a_load_report) {
@@ -253,7 +253,7 @@
     std::set<std::string> waiting;
 };
 
-/// Four models on 45 engines, as at a large site.
+/// Four models on 45 engines.
 class several_models_test : public ::testing::Test {
 public:
     several_models_test()
@@ -320,8 +320,8 @@
 } // namespace
 
 // When all models got a version at the same time, loads of the others took the
-// whole loading limit, and the model whose name sorts last had no usable engine
-// for nine seconds.
+// entire loading limit, and the model whose name sorts last had no usable
+// engine for nine seconds.
 TEST_F(several_models_test,
        simultaneous_versions_give_each_model_engines_at_once) {
     for (const std::string model : {"a", "b", "c", "d"}) {
