--- a/drivers/batch/job_store.cpp
+++ b/drivers/batch/job_store.cpp
@@ -251,9 +251,9 @@
 
 asio::awaitable<outcome<std::shared_ptr<const batch_job>>>
 job_store::read_submission(job_record record) {
-    for (const auto& kept : cached_submissions_) {
-        if (kept->id == record.id) {
-            co_return kept;
+    for (const auto& cached : cached_submissions_) {
+        if (cached->id == record.id) {
+            co_return cached;
         }
     }
     const auto page = co_await client_.read_range(submission_prefix(record.id));
@@ -302,7 +302,7 @@
 }
 
 asio::awaitable<outcome<done>> job_store::end(job_id job) {
-    failure last{result_code::store_unanswered, "no attempt was made"};
+    failure last{result_code::store_unanswered, "not tried"};
     for (int tries = 0; tries < max_end_tries; ++tries) {
         const auto value = co_await client_.read_key(job_key(job));
         if (!value) {
