--- a/servers/admission/admission_queue.hpp
+++ b/servers/admission/admission_queue.hpp
@@ -28,7 +28,7 @@
 
 /// A request to run on this instance.
 struct admission_request {
-    /// Number chosen by the user of the queue; unique among the requests that
+    /// Number assigned by the user of the queue; unique among the requests that
     /// wait or run.
     std::uint64_t ticket = 0;
     class_name class_of_service;
@@ -69,8 +69,8 @@
     [[nodiscard]] outcome<admission_verdict>
     submit(const admission_request& request, steady_time now);
 
-    /// Ends a granted request and grants waiting ones. An unknown ticket ends
-    /// nothing.
+    /// Ends a granted request and grants waiting ones. An unknown ticket is
+    /// not an error.
     [[nodiscard]] admission_change release(std::uint64_t ticket,
                                            steady_time now);
 
--- a/servers/delivery/attempt_gate.cpp
+++ b/servers/delivery/attempt_gate.cpp
@@ -333,8 +333,8 @@
     case stage::claiming:
     case stage::reading:
     case stage::retrying_claim:
-        // This instance may own the claim. Its ledger record tells that to any
-        // instance that reads the claim and asks.
+        // This instance may own the claim. Its ledger record says so when
+        // another instance reads the claim and queries this one.
         return refuse(search, result_code::unknown_earlier_sending, true, now);
     }
 }
--- a/servers/delivery/delivery_message.hpp
+++ b/servers/delivery/delivery_message.hpp
@@ -14,7 +14,7 @@
 
 namespace savorydock {
 
-/// Asks a peer for its record of a key and for the right to run the call.
+/// Queries a peer's record of a key and requests the right to run the call.
 struct key_query {
     /// Unique over all instances and their restarts.
     std::string query_id;
@@ -60,7 +60,8 @@
 };
 BOOST_DESCRIBE_STRUCT(suspicion_update, (), (marks, cleared))
 
-/// Asks the arbiter for permission to run a suspected request on one upstream.
+/// Requests a permit from the arbiter to run a suspected request on one
+/// upstream.
 struct permit_request {
     std::string permit;
     service_name service;
--- a/servers/delivery/delivery_port.hpp
+++ b/servers/delivery/delivery_port.hpp
@@ -17,8 +17,8 @@
 
 namespace savorydock {
 
-/// Asks for a permit to run a suspected request on one upstream. A refusal is
-/// temporary; the query may be repeated later.
+/// Requests a permit to run a suspected request on one upstream. A refusal is
+/// temporary; the request may be repeated later.
 struct permit_query {
     service_name service;
     std::string fingerprint;
--- a/servers/delivery/key_ledger.hpp
+++ b/servers/delivery/key_ledger.hpp
@@ -86,7 +86,7 @@
 struct key_ledger_options {
     std::size_t max_records = 65'536;
     std::size_t max_answer_bytes = 33'554'432;
-    /// Larger answers are not kept; a repeated attempt is then only told that
+    /// Larger answers are not kept; a repeated attempt then learns only that
     /// the call ran.
     std::size_t max_one_answer_bytes = 262'144;
     /// Must exceed every caller's deadline, including its retries.
@@ -101,7 +101,7 @@
 /// `hand_over` transfers it. A key whose record was evicted never runs from
 /// this ledger alone: later attempts must acquire the right from another
 /// instance or end as unknown. Records of running keys are not evicted while
-/// the process lives.
+/// the process runs.
 ///
 /// Thread safe: each shard has its own lock, which is never held during I/O.
 class key_ledger {
--- a/servers/delivery/suspect_permits.hpp
+++ b/servers/delivery/suspect_permits.hpp
@@ -12,16 +12,17 @@
 namespace savorydock {
 
 /// Permits that this instance has granted as the arbiter. A suspected request
-/// runs on one upstream at a time, and an upstream runs one suspected request
-/// at a time. Control thread only.
+/// never runs on two upstreams at once, and an upstream never runs two
+/// suspected requests at once. Control thread only.
 class suspect_permits {
 public:
     /// Returns whether the permit is granted. The same request may be repeated.
     [[nodiscard]] bool grant(const permit_request& request, steady_time now);
     void release(const std::string& permit);
 
-    /// Removes and returns permits that were not released in time. Their holder
-    /// is presumed dead, and the upstream may have crashed.
+    /// Removes and returns permits that were not released in time. The
+    /// instance that held such a permit has probably failed, and the upstream
+    /// may have crashed.
     [[nodiscard]] std::vector<permit_request> take_expired(steady_time now);
 
 private:
--- a/servers/explain/explain_server.hpp
+++ b/servers/explain/explain_server.hpp
@@ -55,11 +55,11 @@
         return peer_topic::explain;
     }
 
-    /// Sets the instances to ask.
+    /// Sets the instances to query.
     void set_peers(std::vector<instance_id> peers);
 
-    /// Asks all peers. Calls `answer` once, when all have answered or the
-    /// timeout has passed; at once if there are no peers.
+    /// Queries all peers. Calls `answer` once, when all have answered or the
+    /// timeout has passed; immediately if there are no peers.
     void ask(const std::string& subject, answer_handler answer, steady_time now,
              command_list& out);
 
--- a/servers/limits/limit_message.hpp
+++ b/servers/limits/limit_message.hpp
@@ -24,8 +24,7 @@
     /// The demand on a zone, sent between collectors of different zones.
     zone_sum,
     /// The demand on all zones, sent by a collector to the instances that
-    /// report
-    /// to it.
+    /// report to it.
     totals,
 };
 
--- a/servers/limits/limit_server.hpp
+++ b/servers/limits/limit_server.hpp
@@ -72,7 +72,7 @@
     using demand_map = std::map<limit_key, std::uint64_t, limit_key_less>;
 
     struct limited_caller {
-        /// Requests per second of the whole fleet, and of this instance.
+        /// Requests per second of all instances, and of this instance.
         double limit = 0;
         double share = 0;
         std::shared_ptr<token_bucket> bucket;
--- a/servers/limits/token_bucket.hpp
+++ b/servers/limits/token_bucket.hpp
@@ -21,7 +21,7 @@
     [[nodiscard]] bool admit(steady_time now);
 
     /// Changes the rate. The number of tokens missing from the bucket stays the
-    /// same. Must not be called by two threads at a time.
+    /// same. Must not be called by two threads at once.
     void set_rate(double requests_per_second, steady_time now);
 
     /// Returns the number of attempts since the last call, and resets it.
--- a/servers/routing/adaptive_policy.cpp
+++ b/servers/routing/adaptive_policy.cpp
@@ -22,7 +22,7 @@
 /// Upstreams from the affinity ring that get an affinity bonus.
 constexpr std::uint32_t max_ring_candidates = 2;
 
-/// Stands for the position of no upstream.
+/// Position value that means no upstream.
 constexpr std::uint32_t no_position = std::numeric_limits<std::uint32_t>::max();
 
 /// Maps random bits to a uniform value in [0, 1).
@@ -111,7 +111,7 @@
     if (found > 0) {
         return;
     }
-    // Random sampling found no eligible upstream. A scan of the whole pool
+    // Random sampling found no eligible upstream. A scan of the entire pool
     // from a random start finds one if there is any.
     const std::size_t start = state.next_random() % pool.size();
     for (std::size_t step = 0; step < pool.size(); ++step) {
--- a/servers/routing/adaptive_policy.hpp
+++ b/servers/routing/adaptive_policy.hpp
@@ -37,7 +37,7 @@
 /// exact in-flight count plus the load by other instances, which is known from
 /// delayed reports. Upstreams that probably hold the prompt's prefix in their
 /// cache get a bonus. The cost of a decision doesn't grow with the number of
-/// upstreams, unless sampling finds none that may serve.
+/// upstreams, unless sampling finds no eligible one.
 class adaptive_policy final : public routing_policy {
 public:
     adaptive_policy(adaptive_options options, std::uint64_t seed)
--- a/servers/routing/routing_policy.hpp
+++ b/servers/routing/routing_policy.hpp
@@ -13,7 +13,7 @@
 public:
     virtual ~routing_policy() = default;
 
-    /// Returns the chosen upstream and the data that the choice rests on.
+    /// Returns the chosen upstream and the data that the choice is based on.
     /// Errors: `not_run_no_upstream`, `not_run_overloaded`.
     [[nodiscard]] virtual outcome<route_choice>
     choose(const routed_service& service, const route_query& query,
--- a/servers/routing/upstream_counters.hpp
+++ b/servers/routing/upstream_counters.hpp
@@ -8,8 +8,8 @@
 
 namespace savorydock {
 
-/// What this instance's own traffic has measured of one upstream. It is shared
-/// by successive snapshots, so that no count is lost when a snapshot is
+/// Counts and averages of this instance's requests to one upstream. Successive
+/// snapshots share them, so that no count is lost when a snapshot is
 /// replaced. Every method is thread safe and lock free.
 class upstream_counters {
 public:
@@ -33,8 +33,8 @@
     [[nodiscard]] std::uint32_t failure_streak() const;
 
     /// Whether the upstream itself reported recently that it is leaving. This
-    /// bridges the time until the control thread knows of it; from then on the
-    /// published condition decides.
+    /// covers the time until the control thread learns of it; from then on the
+    /// published condition applies.
     [[nodiscard]] bool has_reported_leaving() const;
 
     /// Must be called at each publication. After a few of them
--- a/servers/routing/upstream_state.hpp
+++ b/servers/routing/upstream_state.hpp
@@ -20,8 +20,8 @@
     swapping,
 };
 
-/// What the control thread knows of one upstream, with the time of the last
-/// report.
+/// The state of one upstream as known to the control thread, with the time of
+/// the last report.
 struct upstream_state {
     upstream_condition condition = upstream_condition::serving;
     /// The weight version it last reported; 0 if it reported none.
--- a/tests/servers/delivery/delivery_server_test.cpp
+++ b/tests/servers/delivery/delivery_server_test.cpp
@@ -67,7 +67,7 @@
         return loses_permit_replies_ && body->permit_replied;
     }
 
-    /// Asks for a permit; returns its id, or an empty string if it is refused.
+    /// Requests a permit; returns its id, or an empty string if it is refused.
     std::string permit(const char* name, const char* request,
                        const char* upstream) {
         std::string granted;
--- a/tests/servers/limits/limit_server_test.cpp
+++ b/tests/servers/limits/limit_server_test.cpp
@@ -79,8 +79,8 @@
         is_blocked_ = std::move(is_blocked);
     }
 
-    /// Tells every instance that those it can't reach are dead and the others
-    /// live. A higher incarnation revives dead instances.
+    /// Marks, on every instance, those it can't reach as dead and the others
+    /// as living. A higher incarnation revives dead instances.
     void update_membership(std::uint64_t incarnation) {
         for (std::size_t i = 0; i < node_count; ++i) {
             for (std::size_t j = 0; j < node_count; ++j) {
