--- a/servers/configuration/configuration_server.hpp
+++ b/servers/configuration/configuration_server.hpp
@@ -77,7 +77,7 @@
         return peer_topic::configuration;
     }
 
-    /// Sets the instances that membership knows. Until the first call the
+    /// Sets the instances known to membership. Until the first call the
     /// instance acts as the only one in its zone.
     void on_instances(const std::vector<known_instance>& instances,
                       steady_time now);
--- a/servers/configuration/line_diff.hpp
+++ b/servers/configuration/line_diff.hpp
@@ -11,8 +11,8 @@
 /// equal. Thread safe.
 ///
 /// Time and memory grow with the product of the numbers of lines between the
-/// first and the last difference in both texts. Above a limit that whole region
-/// is returned as replaced.
+/// first and the last difference in both texts. Above a limit that entire
+/// region is returned as replaced.
 [[nodiscard]] std::string line_diff(std::string_view from, std::string_view to);
 
 } // namespace savorydock
--- a/servers/configuration/store_watcher.hpp
+++ b/servers/configuration/store_watcher.hpp
@@ -21,10 +21,10 @@
     std::vector<stored_value> values;
 };
 
-/// Follows the services in the platform's store with one call at a time: reads
-/// the changes, then starts a watch whose answer only triggers the next read.
-/// A change that a watch misses is therefore found by the next read, at the
-/// latest after the watch has timed out.
+/// Follows the services in the platform's store with at most one pending call:
+/// reads the changes, then starts a watch whose answer only triggers the next
+/// read. A change that a watch misses is therefore found by the next read, at
+/// the latest after the watch has timed out.
 ///
 /// Not thread safe. The random source must outlive it.
 class store_watcher {
@@ -36,7 +36,7 @@
     void set_active(bool is_active);
     [[nodiscard]] bool is_active() const { return is_active_; }
 
-    /// Makes the next call if one is due. A read asks for the changes after
+    /// Makes the next call if one is due. A read requests the changes after
     /// `complete_through`.
     void on_tick(steady_time now, store_revision complete_through,
                  command_list& out);
--- a/servers/control/order_server.cpp
+++ b/servers/control/order_server.cpp
@@ -177,8 +177,8 @@
         if (entry.claim_ticket == 0 || entry.claim_ticket != reply.ticket) {
             continue;
         }
-        // Whatever the result of the write, the next poll reads from the key
-        // who holds the scope.
+        // Whatever the result of the write, the next poll reads the key and
+        // finds out which instance holds the scope.
         entry.claim_ticket = 0;
         poll_keys_soon();
         if (!reply.answer &&
--- a/servers/control/order_tracker.hpp
+++ b/servers/control/order_tracker.hpp
@@ -21,7 +21,7 @@
     failed,
     /// The order failed because the weight store had no capacity.
     store_busy,
-    /// Nothing of the order was sent.
+    /// No byte of the order was sent.
     unsent,
     /// The outcome is unknown; the state is read later to find out.
     lost,
@@ -37,8 +37,7 @@
 class order_tracker {
 public:
     /// Orders of earlier holders may take effect until `settled_at`.
-    /// Precondition: the
-    /// chart passes `check_chart` and outlives the tracker.
+    /// Precondition: the chart passes `check_chart` and outlives the tracker.
     order_tracker(const state_chart& chart, upstream_rule rule,
                   steady_time settled_at);
 
--- a/servers/control/scope_controller.cpp
+++ b/servers/control/scope_controller.cpp
@@ -19,15 +19,15 @@
            left.checks_fencing == right.checks_fencing;
 }
 
-/// The share of the store's fetch limit for a scope with `part` of the `whole`
+/// The share of the store's fetch limit for a scope with `part` of the `total`
 /// upstreams; at least 1 if there is a limit.
 std::uint32_t scope_share(std::uint32_t limit, std::size_t part,
-                          std::size_t whole) {
-    if (limit == 0 || whole == 0) {
+                          std::size_t total) {
+    if (limit == 0 || total == 0) {
         return limit;
     }
     return std::max<std::uint32_t>(
-        1, static_cast<std::uint32_t>(limit * part / whole));
+        1, static_cast<std::uint32_t>(limit * part / total));
 }
 
 } // namespace
--- a/servers/feed/key_copy.hpp
+++ b/servers/feed/key_copy.hpp
@@ -13,8 +13,8 @@
 /// deterministic.
 class key_copy {
 public:
-    /// Applies a snapshot of the whole prefix, read at `revision`. Returns the
-    /// changes to the copy.
+    /// Applies a snapshot of the complete prefix, read at `revision`. Returns
+    /// the changes to the copy.
     std::vector<store_change> replace(std::vector<stored_value> values,
                                       store_revision revision);
 
--- a/servers/membership/failure_detector.hpp
+++ b/servers/membership/failure_detector.hpp
@@ -14,10 +14,10 @@
 struct failure_detector_options {
     /// Time between two probes of living members.
     std::chrono::milliseconds probe_period{1'000};
-    /// After this time without an ack other members are asked to ping the
+    /// After this time without an ack, other members are requested to ping the
     /// target.
     std::chrono::milliseconds ack_timeout{400};
-    /// Number of members that are asked.
+    /// Number of members that are requested to ping the target.
     std::uint32_t indirect_probes = 3;
     /// Time that a suspected member has to refute the suspicion, multiplied by
     /// the decimal logarithm of the number of living members (at least 1).
@@ -38,8 +38,8 @@
 };
 
 /// Detects members that do not answer. Pings one member per period; if it sends
-/// no ack, asks other members to ping it, then marks it suspect and, if it does
-/// not refute this in time, dead. Not thread safe.
+/// no ack, requests pings from other members, then marks it suspect and, if it
+/// does not refute this in time, dead. Not thread safe.
 class failure_detector {
 public:
     /// The table and the random source must outlive the object.
--- a/servers/membership/member_table.hpp
+++ b/servers/membership/member_table.hpp
@@ -13,7 +13,7 @@
 
 namespace savorydock {
 
-/// What this instance knows about another one.
+/// The state of another instance as known to this one.
 struct member {
     member_record record;
     /// When its record or condition last changed in this table.
--- a/servers/membership/membership_message.hpp
+++ b/servers/membership/membership_message.hpp
@@ -68,7 +68,7 @@
 enum class membership_kind : std::uint8_t {
     ping,
     ack,
-    /// Asks the receiver to ping `target` and to forward its ack.
+    /// Requests that the receiver ping `target` and forward its ack.
     ping_request,
     /// Only carries records.
     gossip,
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -381,7 +381,7 @@
     if (message.kind == membership_kind::ping) {
         message.members.push_back(table_.self());
     }
-    // The receiver can refute that it is suspect or dead only if it is told.
+    // The receiver must know that it is suspect or dead to refute it.
     const member* receiver = table_.find(to);
     if (receiver != nullptr &&
         receiver->record.condition != member_condition::alive) {
--- a/servers/membership/upstream_health.hpp
+++ b/servers/membership/upstream_health.hpp
@@ -22,7 +22,7 @@
     availability_zone zone;
     /// The failure score restarts if the previous failure is older than this.
     std::chrono::milliseconds failure_window{10'000};
-    /// How long a suspicion stays local before peers are told. In a network
+    /// How long a suspicion stays local before peers are notified. In a network
     /// partition many upstreams become suspected within this time, so the
     /// partition is recognised before the first suspicion is announced.
     std::chrono::milliseconds announce_delay{1'000};
--- a/servers/platform/platform_message.hpp
+++ b/servers/platform/platform_message.hpp
@@ -65,7 +65,7 @@
 
 /// The answer of the platform's store.
 struct platform_answer {
-    /// The revision of the whole store at the time of the answer.
+    /// The revision of the store (not of a key) at the time of the answer.
     store_revision revision = 0;
     /// Compare-and-swap only: the write took effect.
     bool has_swapped = false;
--- a/tests/servers/configuration/publish_protocol_test.cpp
+++ b/tests/servers/configuration/publish_protocol_test.cpp
@@ -33,7 +33,7 @@
             .text = text};
 }
 
-/// Runs the publish of one operator against the store, one call at a time.
+/// Runs the publish of one operator against the store, one call after another.
 class publisher_run {
 public:
     publisher_run(publish_plan plan, random_source& random,
--- a/tests/servers/membership/membership_benchmark.cpp
+++ b/tests/servers/membership/membership_benchmark.cpp
@@ -1,6 +1,6 @@
 // Cost of membership by the number of instances, in virtual time. One iteration
-// simulates one second of the whole fleet. The times are those of the whole
-// fleet; the counters give the cost per instance.
+// simulates one second of all instances. The times are those of all
+// instances; the counters give the cost per instance.
 
 #include "core/wire_codec.hpp"
 #include "servers/configuration/configuration_view.hpp"
