--- a/servers/control/order_server.cpp
+++ b/servers/control/order_server.cpp
@@ -42,7 +42,7 @@
     , chart_(&chart)
     , candidates_(&candidates)
     , options_(options)
-    , keeper_(options) {}
+    , lease_keeper_(options) {}
 
 void order_server::on_configuration(
     std::shared_ptr<const configuration_view> view, steady_time now,
@@ -85,11 +85,11 @@
 
 bool order_server::needs_lease() const {
     if (is_draining_) {
-        return keeper_.lease() != 0;
+        return lease_keeper_.lease() != 0;
     }
     // A lease that has expired by local time may still be alive on the
     // platform.
-    if (keeper_.lease() != 0 && keeper_.lease() == scope_lease_) {
+    if (lease_keeper_.lease() != 0 && lease_keeper_.lease() == scope_lease_) {
         return true;
     }
     // A candidate requests a lease only once a scope is without a holder.
@@ -103,7 +103,7 @@
 }
 
 void order_server::on_tick(steady_time now, command_list& out) {
-    if (!keeper_.is_valid(now)) {
+    if (!lease_keeper_.is_valid(now)) {
         release_all(out);
     }
     if (is_draining_) {
@@ -115,12 +115,12 @@
         }
     }
     if (needs_lease()) {
-        keeper_.on_tick(now, tickets_, out);
+        lease_keeper_.on_tick(now, tickets_, out);
     }
     for (auto& [name, entry] : scopes_) {
         entry.controller.set_ordering(!is_draining_);
-        entry.controller.on_tick(now, keeper_.valid_until(), states_.get(),
-                                 tickets_, out);
+        entry.controller.on_tick(now, lease_keeper_.valid_until(),
+                                 states_.get(), tickets_, out);
     }
 }
 
@@ -142,9 +142,9 @@
 
 void order_server::on_platform_reply(const platform_reply& reply,
                                      steady_time now, command_list& out) {
-    const bool had_lease = keeper_.is_valid(now);
-    if (keeper_.on_platform_reply(reply, now)) {
-        if (!keeper_.is_valid(now)) {
+    const bool had_lease = lease_keeper_.is_valid(now);
+    if (lease_keeper_.on_platform_reply(reply, now)) {
+        if (!lease_keeper_.is_valid(now)) {
             release_all(out);
         } else if (!had_lease) {
             poll_keys_soon();
@@ -183,7 +183,7 @@
         poll_keys_soon();
         if (!reply.answer &&
             reply.answer.reason().code == result_code::lease_not_held) {
-            keeper_.forget();
+            lease_keeper_.forget();
             release_all(out);
         }
         return true;
@@ -212,17 +212,17 @@
 void order_server::update_ownership(const scope_name& name, scope& entry,
                                     const stored_value* found, steady_time now,
                                     command_list& out) {
-    const bool has_lease = keeper_.is_valid(now);
+    const bool has_lease = lease_keeper_.is_valid(now);
     const bool is_own = found != nullptr && has_lease &&
                         found->value == self_.text() &&
-                        found->lease == keeper_.lease();
+                        found->lease == lease_keeper_.lease();
     if (!is_own) {
         release_scope(name, entry, out);
     } else if (entry.controller.fencing() != found->created) {
         release_scope(name, entry, out);
         const bool is_new = past_fencing_numbers_.insert(found->created).second;
         entry.controller.take_over(found->created, is_new, now);
-        scope_lease_ = keeper_.lease();
+        scope_lease_ = lease_keeper_.lease();
         out.emplace_back(log_command{
             log_event::lease_acquired,
             "group=" + name.group + " service=" + name.service.text() +
@@ -255,7 +255,7 @@
                                                     '/' + name.service.text(),
                                              .expected = 0,
                                              .value = self_.text(),
-                                             .lease = keeper_.lease()}});
+                                             .lease = lease_keeper_.lease()}});
 }
 
 void order_server::release_scope(const scope_name& name, scope& entry,
@@ -305,11 +305,11 @@
             return each.second.controller.is_held() &&
                    each.second.controller.has_order_in_flight();
         });
-    if (is_busy || keeper_.lease() == 0) {
+    if (is_busy || lease_keeper_.lease() == 0) {
         return;
     }
     release_all(out);
-    keeper_.release(tickets_, out);
+    lease_keeper_.release(tickets_, out);
 }
 
 std::vector<scope_status> order_server::status() const {
@@ -333,7 +333,7 @@
 }
 
 std::uint64_t order_server::platform_calls() const {
-    return poll_and_claim_calls_ + keeper_.calls();
+    return poll_and_claim_calls_ + lease_keeper_.calls();
 }
 
 std::uint64_t order_server::upstream_calls() const {
--- a/servers/control/order_server.hpp
+++ b/servers/control/order_server.hpp
@@ -124,7 +124,7 @@
     const state_chart* chart_;
     const holder_candidates* candidates_;
     order_options options_;
-    lease_keeper keeper_;
+    lease_keeper lease_keeper_;
     /// The last lease with which a scope was held.
     std::uint64_t scope_lease_ = 0;
     bool is_draining_ = false;
--- a/servers/delivery/version_labels.hpp
+++ b/servers/delivery/version_labels.hpp
@@ -21,8 +21,8 @@
     /// ended; version 0 means that the upstream did not report it.
     void add(version_range range);
 
-    /// Checks the upstream's summary of the whole answer, which must match the
-    /// versions reported with the tokens.
+    /// Checks the upstream's summary of the complete answer, which must match
+    /// the versions reported with the tokens.
     void confirm(std::span<const version_range> summary);
 
     /// The merged ranges of an answer of `token_count` tokens.
--- a/servers/limits/limit_server.cpp
+++ b/servers/limits/limit_server.cpp
@@ -270,19 +270,19 @@
 
 double limit_server::usable_fraction(steady_time now) const {
     double living = 1;
-    double lost = 0;
-    double recently_lost = 0;
+    double missing = 0;
+    double recently_missing = 0;
     for (const auto& [name, member] : members_.members()) {
         living += is_living(member.record.condition) ? 1 : 0;
         if (member.record.condition == member_condition::dead) {
-            lost += 1;
-            recently_lost +=
+            missing += 1;
+            recently_missing +=
                 now - member.changed_at <= options_.crash_hold_time ? 1 : 0;
         }
     }
     const bool is_partitioned =
-        lost > partition_loss_fraction * (living + lost);
-    return living / (living + (is_partitioned ? lost : recently_lost));
+        missing > partition_loss_fraction * (living + missing);
+    return living / (living + (is_partitioned ? missing : recently_missing));
 }
 
 std::vector<instance_id>
--- a/servers/limits/token_bucket.hpp
+++ b/servers/limits/token_bucket.hpp
@@ -16,7 +16,7 @@
     /// given rate. The bucket has room for one request at least.
     token_bucket(double requests_per_second, std::chrono::nanoseconds burst);
 
-    /// Takes a token, or returns false if there is none. Counts the attempt in
+    /// Takes a token, or returns false if none is left. Counts the attempt in
     /// both cases.
     [[nodiscard]] bool admit(steady_time now);
 
--- a/servers/membership/membership_server.cpp
+++ b/servers/membership/membership_server.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t instance_list_tickets = 1ULL << 32U;
 constexpr std::uint64_t upstream_list_tickets = 2ULL << 32U;
 constexpr std::size_t readers_per_zone = 2;
-/// How long gossip is also pushed in messages of its own after a change.
+/// How long after a change gossip is also sent in separate messages.
 constexpr std::chrono::milliseconds push_time{2'000};
 /// Gossip messages per tick during `push_time` after a change: to the own zone
 /// and to other zones.
@@ -140,8 +140,8 @@
         }
     };
     add(table_.self());
-    // Starts at a random member, so that the limit leaves out different ones
-    // each time.
+    // Starts at a random member, so that the limit omits different members each
+    // time.
     const auto& members = table_.members();
     const std::size_t skip =
         members.empty() ? 0 : random_.below(members.size());
--- a/servers/membership/membership_server.hpp
+++ b/servers/membership/membership_server.hpp
@@ -123,8 +123,8 @@
     store_revision list_revision_ = 0;
     bool is_initialized_ = false;
     bool is_cut_off_ = false;
-    /// Until then changes are also sent in gossip messages of their own, not
-    /// only attached to other messages.
+    /// Until then changes are also sent in separate gossip messages, not only
+    /// attached to other messages.
     steady_time push_until_{};
     steady_time next_digest_at_{};
     steady_time next_maintenance_at_{};
--- a/tests/servers/configuration/configuration_spread_benchmark.cpp
+++ b/tests/servers/configuration/configuration_spread_benchmark.cpp
@@ -1,9 +1,9 @@
 // Measures how the cost of distributing configuration grows with the number of
 // instances, in virtual time. Counters: seconds from a publish until it is in
 // force on all instances (median and maximum), control traffic per instance in
-// bytes per second sent and received, platform calls per second of the whole
-// fleet, and CPU per instance as a share of one core (includes the time of the
-// simulation itself).
+// bytes per second sent and received, platform calls per second of all
+// instances together, and CPU per instance as a share of one core (includes the
+// time of the simulation itself).
 #include "tests/servers/configuration/configuration_fleet.hpp"
 
 #include <benchmark/benchmark.h>
--- a/tests/servers/delivery/attempt_gate_test.cpp
+++ b/tests/servers/delivery/attempt_gate_test.cpp
@@ -85,7 +85,7 @@
             nodes_[node_index].gate->on_reply(message.from, *body->key_replied,
                                               now_, out);
         }
-        carry_out(node_index, out);
+        execute(node_index, out);
     }
 
     void drop(std::size_t which) {
@@ -100,7 +100,7 @@
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
             command_list out;
             nodes_[i].gate->on_tick(now_, out);
-            carry_out(i, out);
+            execute(i, out);
         }
     }
 
@@ -127,7 +127,7 @@
         command_list out;
         nodes_[one.node_index].gate->on_platform_reply(
             {.ticket = one.body.ticket, .answer = answer}, now_, out);
-        carry_out(one.node_index, out);
+        execute(one.node_index, out);
     }
 
     void apply_late_writes() {
@@ -219,7 +219,7 @@
                                           .deadline = now_ + 10s,
                                           .done = done},
                                          now_, out);
-        carry_out(node_index, out);
+        execute(node_index, out);
     }
 
     void start_run(std::size_t node_index) {
@@ -251,7 +251,7 @@
         return answer;
     }
 
-    void carry_out(std::size_t node_index, const command_list& out) {
+    void execute(std::size_t node_index, const command_list& out) {
         for (const control_command& command : out) {
             if (const auto* const message =
                     std::get_if<peer_message>(&command)) {
