--- a/servers/limits/token_bucket.hpp
+++ b/servers/limits/token_bucket.hpp
@@ -16,12 +16,12 @@
     /// given rate. The bucket has room for one request at least.
     token_bucket(double requests_per_second, std::chrono::nanoseconds burst);
 
-    /// Takes a token, or returns false if there is none. Counts the attempt in
+    /// Takes a token, or returns false if none is left. Counts the attempt in
     /// both cases.
     [[nodiscard]] bool admit(steady_time now);
 
     /// Changes the rate. The number of tokens missing from the bucket stays the
-    /// same. Must not be called by two threads at a time.
+    /// same. Must not be called by two threads at once.
     void set_rate(double requests_per_second, steady_time now);
 
     /// Returns the number of attempts since the last call, and resets it.
