--- a/core/ids.hpp
+++ b/core/ids.hpp
@@ -45,7 +45,7 @@
 /// A revision of the platform's store; every write increases it.
 using store_revision = std::uint64_t;
 
-/// A fencing token: each later holder of a lease sends its orders with a
+/// A fencing token: each new holder of a lease sends its orders with a
 /// higher number, so that upstreams can refuse orders of earlier holders.
 using fencing_number = std::uint64_t;
 
--- a/core/instance_settings.cpp
+++ b/core/instance_settings.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr integer_range thread_range{1, 64};
-constexpr integer_range lease_range{4, 300};
-constexpr integer_range order_range{1'000, 3'600'000};
-constexpr integer_range drain_range{0, 3'600'000};
+constexpr integer_range lease_seconds_range{4, 300};
+constexpr integer_range order_ms_range{1'000, 3'600'000};
+constexpr integer_range drain_ms_range{0, 3'600'000};
 constexpr integer_range connection_range{1, 1'000'000};
-constexpr integer_range header_range{1'024, 1'048'576};
-constexpr integer_range body_range{1'024, 1'073'741'824};
-constexpr integer_range timeout_range{10, 600'000};
+constexpr integer_range header_bytes_range{1'024, 1'048'576};
+constexpr integer_range body_bytes_range{1'024, 1'073'741'824};
+constexpr integer_range timeout_ms_range{10, 600'000};
 constexpr std::array<std::string_view, 4> level_names{"debug", "info",
                                                       "warning", "error"};
 
@@ -35,10 +35,10 @@
         .max_connections = static_cast<std::uint32_t>(reader.integer(
             "max_connections", connection_range, defaults.max_connections)),
         .max_header_bytes = static_cast<std::uint32_t>(reader.integer(
-            "max_header_bytes", header_range, defaults.max_header_bytes)),
+            "max_header_bytes", header_bytes_range, defaults.max_header_bytes)),
         .max_body_bytes = static_cast<std::uint32_t>(reader.integer(
-            "max_body_bytes", body_range, defaults.max_body_bytes)),
-        .io_timeout = reader.milliseconds("io_timeout_ms", timeout_range,
+            "max_body_bytes", body_bytes_range, defaults.max_body_bytes)),
+        .io_timeout = reader.milliseconds("io_timeout_ms", timeout_ms_range,
                                           defaults.io_timeout),
     };
 }
@@ -47,8 +47,8 @@
     const order_limits defaults;
     return {
         .lease_time = std::chrono::seconds(reader.integer(
-            "lease_seconds", lease_range, defaults.lease_time.count())),
-        .longest_order = reader.milliseconds("longest_order_ms", order_range,
+            "lease_seconds", lease_seconds_range, defaults.lease_time.count())),
+        .longest_order = reader.milliseconds("longest_order_ms", order_ms_range,
                                              defaults.longest_order),
     };
 }
@@ -94,8 +94,8 @@
     });
     settings.traffic_threads = static_cast<std::uint32_t>(
         root.integer("traffic_threads", thread_range, 2));
-    settings.drain_timeout = root.milliseconds("drain_timeout_ms", drain_range,
-                                               settings.drain_timeout);
+    settings.drain_timeout = root.milliseconds(
+        "drain_timeout_ms", drain_ms_range, settings.drain_timeout);
     settings.log_file = root.text("log_file", "-");
     settings.log_level = level_names[root.choice("log_level", level_names, 1)];
     settings.chart_folder = root.text("chart_folder");
--- a/core/service_document.cpp
+++ b/core/service_document.cpp
@@ -13,10 +13,11 @@
 
 constexpr integer_range any_uint32{0,
                                    std::numeric_limits<std::uint32_t>::max()};
-constexpr integer_range deadline_range{1, 3'600'000};
+constexpr integer_range deadline_ms_range{1, 3'600'000};
 constexpr integer_range slot_range{1, 65'536};
 constexpr integer_range priority_range{0, 100};
 constexpr integer_range queue_range{0, 1'000'000};
+/// In weight versions.
 constexpr integer_range staleness_range{0, 1'000};
 constexpr integer_range attempt_range{1, 10};
 constexpr integer_range weight_range{1, 1'000'000};
@@ -46,7 +47,7 @@
         .priority = static_cast<std::int32_t>(
             reader.integer("priority", priority_range, 10)),
         .is_interactive = reader.boolean("interactive", false),
-        .deadline = reader.milliseconds("deadline_ms", deadline_range,
+        .deadline = reader.milliseconds("deadline_ms", deadline_ms_range,
                                         std::chrono::seconds(30)),
         .queue_length = static_cast<std::uint32_t>(
             reader.integer("queue_length", queue_range, 1000)),
--- a/core/text_file.hpp
+++ b/core/text_file.hpp
@@ -6,7 +6,7 @@
 
 namespace savorydock {
 
-/// Reads a whole file. Errors: `not_found`. Thread safe.
+/// Reads a complete file. Errors: `not_found`. Thread safe.
 [[nodiscard]] outcome<std::string> read_text_file(const std::string& file);
 
 } // namespace savorydock
--- a/drivers/caller_http/caller_request.hpp
+++ b/drivers/caller_http/caller_request.hpp
@@ -57,7 +57,7 @@
                                                 const failure& reason,
                                                 const instance_id& instance);
 
-/// Builds the headers that every response carries.
+/// Builds the headers that every response has.
 [[nodiscard]] http_headers make_answer_headers(const request_id& id,
                                                result_code code,
                                                const instance_id& instance);
@@ -72,7 +72,7 @@
 
 /// Replaces the code of a refusal that was decided before the idempotency key
 /// was looked up: an earlier attempt with the key may have run, so the caller
-/// must not take "not run" as the outcome of the key. Thread safe.
+/// must not treat "not run" as the outcome of the key. Thread safe.
 [[nodiscard]] failure adjust_refusal_code(const http_request& request,
                                           failure reason);
 
--- a/drivers/caller_http/suspect_guard.cpp
+++ b/drivers/caller_http/suspect_guard.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds permit_retry{100};
-/// Number of lost upstreams after which the request is held; the same as in
+/// Number of lost upstreams after which the request is blocked; the same as in
 /// `crash_suspicion`.
-constexpr std::uint32_t losses_to_hold = 2;
+constexpr std::uint32_t losses_to_block = 2;
 
-failure held_reason(const std::string& fingerprint) {
+failure blocked_reason(const std::string& fingerprint) {
     return {result_code::not_run_suspect_request,
             "upstreams were lost while it ran; fingerprint " + fingerprint};
 }
@@ -50,10 +50,10 @@
     }
 }
 
-bool suspect_guard::is_held() const {
+bool suspect_guard::is_request_blocked() const {
     const auto view = services_.delivery.suspects();
     const auto found = view->find(fingerprint_);
-    return losses_ >= losses_to_hold ||
+    return losses_ >= losses_to_block ||
            (found != view->end() && found->second.is_blocked);
 }
 
@@ -93,15 +93,15 @@
 
 asio::awaitable<outcome<done>> suspect_guard::enter(upstream_id upstream) {
     while (is_suspect()) {
-        if (is_held()) {
-            co_return held_reason(fingerprint_);
+        if (is_request_blocked()) {
+            co_return blocked_reason(fingerprint_);
         }
         if (co_await request_permit(upstream)) {
             break;
         }
         const auto now = std::chrono::steady_clock::now();
         if (now + permit_retry >= request_.deadline) {
-            co_return held_reason(fingerprint_);
+            co_return blocked_reason(fingerprint_);
         }
         asio::steady_timer pause(services_.contexts.at(worker_).get(),
                                  permit_retry);
--- a/drivers/caller_http/suspect_guard.hpp
+++ b/drivers/caller_http/suspect_guard.hpp
@@ -11,7 +11,7 @@
 
 /// Prevents one request from crashing several upstreams in succession. A
 /// request that was running when an upstream was lost needs a permit to run
-/// again, on one upstream at a time, and is refused once it is held. Used on
+/// again, on one upstream at a time, and is refused once it is blocked. Used on
 /// one traffic thread.
 class suspect_guard {
 public:
@@ -23,8 +23,8 @@
     suspect_guard(const suspect_guard&) = delete;
     suspect_guard& operator=(const suspect_guard&) = delete;
 
-    /// Whether the request is held, that is, refused on every upstream.
-    [[nodiscard]] bool is_held() const;
+    /// Whether the request is blocked, that is, refused on every upstream.
+    [[nodiscard]] bool is_request_blocked() const;
 
     /// Upstreams to which the request must not be sent.
     [[nodiscard]] std::vector<upstream_id> excluded() const;
--- a/drivers/entry/entry_instance.cpp
+++ b/drivers/entry/entry_instance.cpp
@@ -25,7 +25,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds drain_check{20};
+constexpr std::chrono::milliseconds drain_check_interval{20};
 
 std::uint64_t make_random_seed() {
     std::random_device device;
@@ -292,7 +292,7 @@
         std::chrono::steady_clock::now() + parts_->settings.drain_timeout;
     while (server.active_requests() > 0 &&
            std::chrono::steady_clock::now() < deadline) {
-        std::this_thread::sleep_for(drain_check);
+        std::this_thread::sleep_for(drain_check_interval);
     }
     const std::size_t left = server.active_requests();
     parts_->log.write(log_event::drain_finished,
--- a/drivers/entry/rendezvous_candidates.cpp
+++ b/drivers/entry/rendezvous_candidates.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Number of instances per shard that try to become its holder: the preferred
+/// Number of instances per shard that try to acquire its lease: the preferred
 /// one and a standby.
 constexpr std::size_t candidate_count = 2;
 
--- a/drivers/feed/node_registration.cpp
+++ b/drivers/feed/node_registration.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// The entry only tells others where to send messages. Failed instances are
+/// The entry only states where others send messages. Failed instances are
 /// detected by other means, so the lease may be long and renewals rare.
 constexpr std::chrono::milliseconds lease_time{12'000};
 constexpr std::chrono::milliseconds renewal_period{4'000};
 /// Pause after a failed call, doubled with each further failure up to the
-/// maximum: the whole fleet retries its calls during an outage of the store.
+/// maximum: all instances retry their calls during an outage of the store.
 constexpr std::chrono::milliseconds first_failure_pause{400};
 constexpr std::chrono::milliseconds longest_failure_pause{1'600};
 
--- a/drivers/feed/node_registration.hpp
+++ b/drivers/feed/node_registration.hpp
@@ -23,7 +23,7 @@
     /// Keeps the instance registered until `retire`. Precondition: called once.
     boost::asio::awaitable<void> run();
 
-    /// Tells other instances that this one accepts no new runs.
+    /// Announces to other instances that this one accepts no new runs.
     boost::asio::awaitable<void> announce_leaving();
 
     /// Removes the entry.
--- a/drivers/feed/peer_store_relay.cpp
+++ b/drivers/feed/peer_store_relay.cpp
@@ -51,9 +51,9 @@
 peer_store_relay::call(http_request request) {
     const std::vector<instance_id> candidates = candidates_();
     bool may_take_effect = false;
-    std::size_t asked = 0;
+    std::size_t tried_count = 0;
     for (const instance_id& candidate : candidates) {
-        if (asked == max_candidates) {
+        if (tried_count == max_candidates) {
             break;
         }
         const std::uint64_t number = ++last_number_;
@@ -66,7 +66,7 @@
         if (!send(candidate, peer_topic::store_call, wire::encode(call))) {
             continue;
         }
-        ++asked;
+        ++tried_count;
         const auto waiting = std::make_shared<waiting_call>(
             waiting_call{.timer = asio::steady_timer(context_)});
         waiting_[number] = waiting;
--- a/drivers/feed/store_feed.cpp
+++ b/drivers/feed/store_feed.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-/// How often a feeder tells its followers that its data is current.
+/// Interval at which a feeder confirms to its followers that its data is
+/// current.
 constexpr std::chrono::milliseconds heartbeat_period{350};
 /// A feeder whose last contact with the store is older sends no heartbeats.
 constexpr std::chrono::milliseconds max_contact_age{1'100};
@@ -94,7 +95,7 @@
               for (const auto& source : subscriptions_) {
                   // A term may resume after a suspension, during which
                   // changes were not forwarded. Skipping a number makes each
-                  // follower request the whole prefix.
+                  // follower request the complete prefix.
                   ++source->pushes;
               }
               update_mode();
--- a/drivers/http/http_client.cpp
+++ b/drivers/http/http_client.cpp
@@ -59,7 +59,7 @@
     boost::system::error_code ignored;
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     const auto set = [&](int level, int option, int value) {
-        // Without the option a lost peer is only detected later.
+        // Without the option an unreachable peer is only detected later.
         ::setsockopt(socket.native_handle(), level, option, &value,
                      sizeof value);
     };
--- a/drivers/http/http_client.hpp
+++ b/drivers/http/http_client.hpp
@@ -24,7 +24,7 @@
     [[nodiscard]] virtual const http_headers& headers() const = 0;
 
     /// Returns the next bytes, or an empty string at the end of the response.
-    /// Errors: `failed_truncated` if the response ended too soon,
+    /// Errors: `failed_truncated` if the response ended too early,
     /// `unknown_deadline`.
     virtual boost::asio::awaitable<outcome<std::string>>
     read_some(steady_time deadline) = 0;
@@ -50,7 +50,7 @@
 /// An HTTP/1.1 client with a pool of idle connections per address. Belongs
 /// to one I/O context and is used on that context's thread only.
 ///
-/// Error codes say whether the upstream may have received the request:
+/// Error codes state whether the upstream may have received the request:
 /// `not_run_no_upstream` and `not_run_deadline` mean that no byte of it was
 /// written to a socket; `unknown_upstream_lost` and `unknown_deadline` mean
 /// that some bytes may have been.
@@ -77,7 +77,7 @@
          steady_time write_by = steady_time::max());
 
     /// Closes the idle connections to an address. For use when they may have
-    /// been lost without a reset.
+    /// failed without a reset.
     void drop_idle(const endpoint& address);
 
 private:
--- a/drivers/http/http_server.hpp
+++ b/drivers/http/http_server.hpp
@@ -34,7 +34,7 @@
     virtual boost::asio::awaitable<bool> write_chunk(std::string chunk) = 0;
 
     /// Marks a chunked response as complete. Without this call the connection
-    /// is reset, so that the caller never takes the response for complete.
+    /// is reset, so that the caller never treats the response as complete.
     virtual boost::asio::awaitable<bool> end_stream() = 0;
 
     [[nodiscard]] virtual bool has_begun() const = 0;
@@ -46,7 +46,7 @@
     /// with the work for the caller, and cancel it when that work ends.
     virtual boost::asio::awaitable<void> wait_for_disconnect() = 0;
 
-    /// Closes the connection after the response and says so in its header.
+    /// Closes the connection after the response and announces it in its header.
     virtual void close_after_answer() = 0;
 };
 
@@ -70,7 +70,7 @@
     void set_limits(const caller_limits& limits);
 
     /// Keeps serving, but closes each connection after its next response and
-    /// says so in that response. Thread safe, idempotent.
+    /// announces it there. Thread safe, idempotent.
     void announce_close();
 
     /// Stops accepting connections and closes each open one after its current
--- a/drivers/operator_http/operator_api.cpp
+++ b/drivers/operator_http/operator_api.cpp
@@ -42,10 +42,10 @@
 
 asio::awaitable<void> answer_from_control(
     http_exchange& exchange,
-    std::function<void(operator_services::answer_handler)> ask) {
+    std::function<void(operator_services::answer_handler)> send_query) {
     const auto pending = std::make_shared<pending_answer<json::object>>(
         co_await asio::this_coro::executor);
-    ask(pending->handler());
+    send_query(pending->handler());
     auto answer = co_await pending->wait(std::chrono::steady_clock::now() +
                                          answer_timeout);
     if (!answer) {
@@ -109,18 +109,18 @@
         const std::string subject(path.substr(explain_path.size()));
         // Closures passed to a coroutine that is awaited need a named variable:
         // GCC 12 copies a temporary closure bitwise and destroys both copies.
-        std::function<void(operator_services::answer_handler)> ask =
+        std::function<void(operator_services::answer_handler)> send_query =
             [&services, subject](auto answer) {
                 services.explain(subject, std::move(answer));
             };
-        co_await answer_from_control(exchange, std::move(ask));
+        co_await answer_from_control(exchange, std::move(send_query));
     } else if (path.starts_with(clear_path) && !is_read) {
         const std::string subject(path.substr(clear_path.size()));
-        std::function<void(operator_services::answer_handler)> ask =
+        std::function<void(operator_services::answer_handler)> send_query =
             [&services, subject](auto answer) {
                 services.clear_suspect(subject, std::move(answer));
             };
-        co_await answer_from_control(exchange, std::move(ask));
+        co_await answer_from_control(exchange, std::move(send_query));
     } else if (path == "/v1/drain" && !is_read) {
         co_await start_drain(exchange, services);
     } else {
--- a/drivers/operator_http/operator_api.hpp
+++ b/drivers/operator_http/operator_api.hpp
@@ -31,7 +31,7 @@
 ///   GET  /v1/explain/SUBJECT     decisions about a request, step or order
 ///   GET  /metrics                Prometheus text; needs no key
 ///   POST /v1/drain               refuse new work, finish requests and exit
-///   POST /v1/clear/FINGERPRINT   allow a held request to run again
+///   POST /v1/clear/FINGERPRINT   allow a blocked request to run again
 ///
 /// `services` must outlive the handler.
 [[nodiscard]] http_handler make_operator_api(const operator_services& services);
--- a/drivers/peer/peer_fault_switch.hpp
+++ b/drivers/peer/peer_fault_switch.hpp
@@ -8,7 +8,7 @@
 
 namespace savorydock {
 
-/// Drops messages to and from chosen peers to simulate a network partition.
+/// Drops messages to and from given peers to simulate a network partition.
 /// For failure tests. Thread safe.
 class peer_fault_switch {
 public:
--- a/drivers/peer/peer_link.cpp
+++ b/drivers/peer/peer_link.cpp
@@ -33,7 +33,7 @@
 constexpr unsigned status_wrong_key = 403;
 constexpr unsigned status_wrong_receiver = 421;
 constexpr std::chrono::milliseconds sweep_period{500};
-constexpr std::chrono::milliseconds accept_pause{100};
+constexpr std::chrono::milliseconds accept_retry_delay{100};
 constexpr std::chrono::seconds refusal_log_period{1};
 /// Limit on the peers whose zones are stored for the fault switch.
 constexpr std::size_t max_known_zones = 4'096;
@@ -217,7 +217,7 @@
 }
 
 void peer_link::impl::accept_later() {
-    accept_timer_.expires_after(accept_pause);
+    accept_timer_.expires_after(accept_retry_delay);
     accept_timer_.async_wait(
         [self = shared_from_this()](const error_code& error) {
             if (!error && !self->is_stopped_) {
@@ -232,7 +232,7 @@
         return;
     }
     // The handlers hold the connection by a weak pointer to avoid a cycle.
-    auto holder = std::make_shared<std::weak_ptr<peer_connection>>();
+    auto weak_connection = std::make_shared<std::weak_ptr<peer_connection>>();
     const auto connection = std::make_shared<peer_connection>(
         std::move(socket),
         peer_connection_options{
@@ -245,15 +245,15 @@
                     [this](const failure& reason) { record_refusal(reason); },
                 .on_response = {}},
             .on_closed =
-                [this, holder](const failure& reason) {
+                [this, weak_connection](const failure& reason) {
                     if (reason.code == result_code::bad_frame) {
                         record_refusal(reason);
                     }
-                    incoming_.erase(holder->lock());
+                    incoming_.erase(weak_connection->lock());
                     publish_open_counts();
                 },
         });
-    *holder = connection;
+    *weak_connection = connection;
     incoming_.insert(connection);
     connection->start();
     publish_open_counts();
--- a/drivers/store/scope_term.cpp
+++ b/drivers/store/scope_term.cpp
@@ -103,12 +103,13 @@
 }
 
 asio::awaitable<void> scope_term::claim() {
-    const double size = std::max(options_.processor_share, 0.05);
-    const auto spread = static_cast<std::uint64_t>(
-        static_cast<double>(options_.claim_spread.count()) * 0.25 / size);
+    const double share = std::max(options_.processor_share, 0.05);
+    const auto max_delay_ms = static_cast<std::uint64_t>(
+        static_cast<double>(options_.claim_spread.count()) * 0.25 / share);
     const auto yield = options_.should_yield() ? options_.yield_time
                                                : std::chrono::milliseconds(0);
-    co_await wait(yield + std::chrono::milliseconds(random_.below(spread + 1)));
+    co_await wait(yield +
+                  std::chrono::milliseconds(random_.below(max_delay_ms + 1)));
     if (is_retired_ || observed_value_ || term_) {
         co_return;
     }
--- a/drivers/store/store_client.cpp
+++ b/drivers/store/store_client.cpp
@@ -87,7 +87,7 @@
     if (response.reason().code == result_code::cancelled_by_caller) {
         co_return failure{result_code::store_unanswered, cancelled_detail};
     }
-    // The idle connections may have been lost together with this one.
+    // The idle connections may have failed together with this one.
     client_.drop_idle(limits_.address);
     record_call_result(false, target, response.reason().detail);
     const bool is_not_sent =
--- a/drivers/store/store_client.hpp
+++ b/drivers/store/store_client.hpp
@@ -43,7 +43,8 @@
 ///
 /// Errors of all calls: `store_refused` if the call certainly had no effect,
 /// `store_unanswered` if a write may still take effect, even seconds later;
-/// others as documented. Logs when the store becomes unreachable or reachable.
+/// further ones are documented at the calls. Logs when the store becomes
+/// unreachable or reachable.
 class store_client {
 public:
     /// `log` must outlive the client.
@@ -127,7 +128,7 @@
     /// Until then calls don't use the relay, because it failed.
     steady_time relay_blocked_until_{};
     bool is_reachable_ = true;
-    /// Whether the relay has reached the store since this instance lost it.
+    /// Whether the relay has reached the store since this instance last could.
     bool is_reachable_by_relay_ = false;
     steady_time reachable_since_{};
     steady_time last_contact_{};
--- a/drivers/store/store_mirror.hpp
+++ b/drivers/store/store_mirror.hpp
@@ -21,7 +21,7 @@
     virtual ~store_mirror_listener() = default;
 
     /// Called with changes in the store's order. `is_reread` says that they
-    /// come from a comparison with a reread of the whole prefix.
+    /// come from a comparison with a reread of all keys.
     virtual void on_changes(const std::vector<store_change>& changes,
                             bool is_reread) = 0;
 };
--- a/drivers/upstream_http/upstream_client.hpp
+++ b/drivers/upstream_http/upstream_client.hpp
@@ -62,7 +62,7 @@
     generate(endpoint address, generation_call call, steady_time deadline,
              event_sink sink, call_evidence& evidence);
 
-    /// Asks an engine to end a stream and ignores the result.
+    /// Requests that an engine end a stream and ignores the result.
     boost::asio::awaitable<void> cancel(endpoint address, std::string stream,
                                         steady_time deadline);
 
