--- a/tests/bench/batch_engine.cpp
+++ b/tests/bench/batch_engine.cpp
@@ -91,13 +91,13 @@
 
 void batch_engine::finish_ready() {
     std::vector<active_run> ready;
-    for (auto at = active_.begin(); at != active_.end();) {
-        if (at->second.left > negligible_tokens) {
-            ++at;
+    for (auto current = active_.begin(); current != active_.end();) {
+        if (current->second.left > negligible_tokens) {
+            ++current;
             continue;
         }
-        ready.push_back(std::move(at->second));
-        at = active_.erase(at);
+        ready.push_back(std::move(current->second));
+        current = active_.erase(current);
     }
     start_queued_runs();
     schedule_next_finish();
@@ -136,10 +136,10 @@
     if (found == active_.end()) {
         return std::nullopt;
     }
-    const double whole = found->second.run.tokens;
+    const double answer_tokens = found->second.run.tokens;
     const double first = found->second.run.first_tokens;
     return static_cast<std::uint32_t>(
-        std::clamp(whole - found->second.left, first, whole));
+        std::clamp(answer_tokens - found->second.left, first, answer_tokens));
 }
 
 void batch_engine::set_speed(double speed) {
--- a/tests/bench/bench_fleet.cpp
+++ b/tests/bench/bench_fleet.cpp
@@ -11,7 +11,7 @@
 constexpr bench_seconds report_lag_spread{1};
 constexpr bench_seconds least_event_lag{1};
 constexpr bench_seconds event_lag_spread{4};
-constexpr double lost_events = 0.2;
+constexpr double lost_event_fraction = 0.2;
 
 /// Time until the control plane suspects an upstream that is down.
 constexpr bench_seconds suspicion_delay{3};
@@ -32,7 +32,7 @@
                          const engine_options& options, std::uint64_t seed)
     : loop_(loop)
     , random_(seed) {
-    for (std::uint32_t at = 0; at < count; ++at) {
+    for (std::uint32_t engine_index = 0; engine_index < count; ++engine_index) {
         engines_.push_back(std::make_unique<batch_engine>(loop, options));
     }
 }
@@ -47,23 +47,26 @@
 
 void bench_fleet::report_to(std::vector<bench_instance*> instances) {
     instances_ = std::move(instances);
-    for (std::uint32_t at = 0; at < engines_.size(); ++at) {
-        loop_.after(report_period * unit(), [this, at] {
-            report(at);
-            loop_.every(report_period, [this, at] { report(at); });
+    for (std::uint32_t engine_index = 0; engine_index < engines_.size();
+         ++engine_index) {
+        loop_.after(report_period * unit(), [this, engine_index] {
+            report(engine_index);
+            loop_.every(report_period,
+                        [this, engine_index] { report(engine_index); });
         });
-        engines_[at]->on_cached = [this, at](std::uint64_t prefix) {
-            if (unit() < lost_events) {
-                return;
-            }
-            const bench_seconds lag =
-                least_event_lag + event_lag_spread * unit();
-            loop_.after(lag, [this, at, prefix] {
-                for (bench_instance* const entry : instances_) {
-                    entry->on_prefix_cached(at, prefix);
+        engines_[engine_index]->on_cached =
+            [this, engine_index](std::uint64_t prefix) {
+                if (unit() < lost_event_fraction) {
+                    return;
                 }
-            });
-        };
+                const bench_seconds lag =
+                    least_event_lag + event_lag_spread * unit();
+                loop_.after(lag, [this, engine_index, prefix] {
+                    for (bench_instance* const entry : instances_) {
+                        entry->on_prefix_cached(engine_index, prefix);
+                    }
+                });
+            };
     }
 }
 
@@ -101,13 +104,13 @@
 
 void bench_fleet::plan_weights(const bench_load& load,
                                std::function<void(weight_version)> announce) {
-    bench_seconds at{0};
+    bench_seconds due{0};
     for (weight_version version = 2;; ++version) {
-        at += load.weights_interval * (1 + weights_jitter * (2 * unit() - 1));
-        if (at >= load.length) {
+        due += load.weights_interval * (1 + weights_jitter * (2 * unit() - 1));
+        if (due >= load.length) {
             return;
         }
-        loop_.after(at, [=, this] {
+        loop_.after(due, [=, this] {
             newest_ = version;
             announce(version);
             for (std::uint32_t engine = 0; engine < engines_.size(); ++engine) {
--- a/tests/bench/bench_settings.cpp
+++ b/tests/bench/bench_settings.cpp
@@ -21,10 +21,11 @@
                          .priority = 1,
                          .is_interactive = true,
                          .queue_length = prompt_queue_length}};
-    for (std::uint32_t at = 0; at < upstreams; ++at) {
+    for (std::uint32_t index = 0; index < upstreams; ++index) {
         document.upstreams.push_back(
-            {.name = upstream_id(name + std::to_string(at)),
-             .zone = availability_zone("z" + std::to_string(at % zone_count)),
+            {.name = upstream_id(name + std::to_string(index)),
+             .zone =
+                 availability_zone("z" + std::to_string(index % zone_count)),
              .slots = slots});
     }
     return document;
--- a/tests/bench/experiment.cpp
+++ b/tests/bench/experiment.cpp
@@ -60,9 +60,9 @@
         return 0;
     }
     std::sort(values.begin(), values.end());
-    const auto at =
+    const auto rank =
         static_cast<std::size_t>(part * static_cast<double>(values.size()));
-    return values[std::min(at, values.size() - 1)];
+    return values[std::min(rank, values.size() - 1)];
 }
 
 void add_trainers(experiment_figures& total,
--- a/tests/bench/interactive_load.cpp
+++ b/tests/bench/interactive_load.cpp
@@ -29,10 +29,10 @@
     const bool is_surge =
         loop_.now() >= surge_from_ && loop_.now() < surge_until_;
     const double rate = is_surge ? rate_ * surge_ : rate_;
-    const double drawn =
+    const double random_value =
         (static_cast<double>(random_.below(random_steps)) + 1) /
         static_cast<double>(random_steps);
-    loop_.after(bench_seconds(-std::log(drawn) / rate), [this] {
+    loop_.after(bench_seconds(-std::log(random_value) / rate), [this] {
         call();
         plan_next();
     });
@@ -67,9 +67,9 @@
 double interactive_load::median_between(steady_time from,
                                         steady_time until) const {
     std::vector<double> found;
-    for (std::size_t at = 0; at < begins_.size(); ++at) {
-        if (begins_[at] >= from && begins_[at] < until) {
-            found.push_back(latencies_[at]);
+    for (std::size_t i = 0; i < begins_.size(); ++i) {
+        if (begins_[i] >= from && begins_[i] < until) {
+            found.push_back(latencies_[i]);
         }
     }
     if (found.empty()) {
@@ -84,12 +84,13 @@
 
 double interactive_load::recovery_seconds() const {
     const double normal = median_between(steady_time{}, surge_from_);
-    steady_time at = surge_until_;
-    while (at < loop_.now() &&
-           median_between(at, at + recovery_window) > 2 * normal) {
-        at += recovery_window;
+    steady_time window_start = surge_until_;
+    while (window_start < loop_.now() &&
+           median_between(window_start, window_start + recovery_window) >
+               2 * normal) {
+        window_start += recovery_window;
     }
-    return bench_seconds(at - surge_until_).count();
+    return bench_seconds(window_start - surge_until_).count();
 }
 
 } // namespace savorydock::bench
--- a/tests/bench/policy_bench_main.cpp
+++ b/tests/bench/policy_bench_main.cpp
@@ -55,7 +55,8 @@
 
 /// "minimum/median/maximum" of one figure over the seeds.
 template <class Read>
-std::string spread(const std::vector<experiment_figures>& runs, Read read) {
+std::string format_range(const std::vector<experiment_figures>& runs,
+                         Read read) {
     std::vector<double> values;
     values.reserve(runs.size());
     for (const experiment_figures& run : runs) {
@@ -82,7 +83,7 @@
     for (const auto& [policy, runs] : rows) {
         using figures = experiment_figures;
         const auto cell = [&runs = runs](auto read) {
-            return spread(runs, read);
+            return format_range(runs, read);
         };
         std::printf(
             "%-19s %-18s %-15s %-15s %-18s %-18s %-18s %-20s %-14s %-12s %-14s "
--- a/tests/bench/trainer_load.cpp
+++ b/tests/bench/trainer_load.cpp
@@ -17,15 +17,15 @@
 
 /// Delay before a trainer without the schedule retries a rejected request; with
 /// the schedule, the retry comes with the next review.
-constexpr bench_seconds refusal_pause{1};
+constexpr bench_seconds refusal_retry_delay{1};
 
 /// Parameters of log-normal answer lengths in tokens: the mean differs between
 /// prompts, and samples of one prompt vary around it.
 constexpr double prompt_log_mean = 5.7;
 constexpr double prompt_log_deviation = 0.8;
 constexpr double sample_log_deviation = 0.3;
-constexpr double shortest_answer = 16;
-constexpr double longest_answer = 4'096;
+constexpr double shortest_answer_tokens = 16;
+constexpr double longest_answer_tokens = 4'096;
 
 double unit(std::uint64_t bits) {
     return (static_cast<double>(bits >> 11U) + 0.5) * 0x1.0p-53;
@@ -61,7 +61,7 @@
         std::exp(prompt_log_mean + prompt_log_deviation * normal(prompt) +
                  sample_log_deviation * normal(sample));
     return static_cast<std::uint32_t>(
-        std::clamp(tokens, shortest_answer, longest_answer));
+        std::clamp(tokens, shortest_answer_tokens, longest_answer_tokens));
 }
 
 void trainer_load::begin_step() {
@@ -71,8 +71,8 @@
     not_started_ = 0;
     const std::uint64_t own = mix_bits(seed_ * 64 + number_);
     for (std::uint32_t group = 0; group < load_.groups; ++group) {
-        const std::uint64_t drawn = mix_bits(own + step_ * 4'096 + group);
-        prefixes_.push_back(mix_bits(own ^ (drawn % load_.prompts + 1)));
+        const std::uint64_t prompt_hash = mix_bits(own + step_ * 4'096 + group);
+        prefixes_.push_back(mix_bits(own ^ (prompt_hash % load_.prompts + 1)));
     }
     open_ = std::size_t{load_.groups} * load_.group_size;
     done_.assign(open_, false);
@@ -90,8 +90,9 @@
 
 void trainer_load::submit_all() {
     for (std::uint32_t group = 0; group < load_.groups; ++group) {
-        for (std::uint32_t at = 0; at < load_.group_size; ++at) {
-            run_slot({group, at}, 0, 0, nullptr, {});
+        for (std::uint32_t sample_index = 0; sample_index < load_.group_size;
+             ++sample_index) {
+            run_slot({group, sample_index}, 0, 0, nullptr, {});
         }
     }
 }
@@ -166,11 +167,12 @@
     }
     if (!schedule_) {
         const bool is_immediate = end.code == result_code::ok;
-        loop_.after(is_immediate ? bench_seconds(0) : refusal_pause, [=, this] {
-            if (step == step_) {
-                run_slot(run.slot, 0, 0, nullptr, {});
-            }
-        });
+        loop_.after(is_immediate ? bench_seconds(0) : refusal_retry_delay,
+                    [=, this] {
+                        if (step == step_) {
+                            run_slot(run.slot, 0, 0, nullptr, {});
+                        }
+                    });
         return;
     }
     schedule_->remove_run(run);
@@ -203,15 +205,15 @@
 }
 
 void trainer_load::cancel_runs(slot_place slot) {
-    for (auto at = live_.begin(); at != live_.end();) {
-        if (at->first.slot != slot) {
-            ++at;
+    for (auto current = live_.begin(); current != live_.end();) {
+        if (current->first.slot != slot) {
+            ++current;
             continue;
         }
-        figures_.wasted_tokens += at->second.tokens;
-        entry_.cancel(at->second.ticket);
-        not_started_ -= at->second.has_started ? 0 : 1;
-        at = live_.erase(at);
+        figures_.wasted_tokens += current->second.tokens;
+        entry_.cancel(current->second.ticket);
+        not_started_ -= current->second.has_started ? 0 : 1;
+        current = live_.erase(current);
     }
 }
 
--- a/tests/drivers/batch/run_host_test.cpp
+++ b/tests/drivers/batch/run_host_test.cpp
@@ -84,7 +84,7 @@
     EXPECT_EQ(host.statistics().started, 1U);
 }
 
-TEST_F(run_host_test, new_planner_is_told_of_the_takeover_at_once) {
+TEST_F(run_host_test, takeover_is_reported_to_the_new_planner_at_once) {
     host.on_order(
         instance_id("next"),
         {.service = service_name("e"), .term = 9, .is_takeover = true});
@@ -93,7 +93,7 @@
     EXPECT_TRUE(updates[0].held.empty());
 }
 
-TEST(run_record_test, reports_join_to_the_whole_text) {
+TEST(run_record_test, reports_join_to_the_complete_text) {
     run_record record = run_record::resumed_after(
         {.text = "a\nb", .events = 2, .versions = {1}});
     record.progress.text += "\nc";
--- a/tests/drivers/http/http_client_reset_test.cpp
+++ b/tests/drivers/http/http_client_reset_test.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 // A message that is still buffered during a network partition must not be
-// delivered after its sender has given it up. An ordinary close would still
+// delivered after its sender has abandoned it. An ordinary close would still
 // deliver it once the partition heals, seconds later; a reset discards it.
 TEST_F(http_client_reset_test, given_up_call_resets_its_connection) {
     asio::io_context context;
--- a/tests/drivers/http/http_test.cpp
+++ b/tests/drivers/http/http_test.cpp
@@ -23,7 +23,7 @@
     std::optional<http_server> server_;
 };
 
-TEST_F(http_test, whole_answer_is_delivered) {
+TEST_F(http_test, complete_answer_is_delivered) {
     const auto address =
         serve([](http_exchange& exchange) -> asio::awaitable<void> {
             http_response response{.body = exchange.request().body + "!"};
@@ -48,7 +48,7 @@
     EXPECT_EQ(answer.reason().code, result_code::failed_truncated);
 }
 
-TEST_F(http_test, stream_with_an_end_is_whole) {
+TEST_F(http_test, stream_with_an_end_is_complete) {
     const auto address =
         serve([](http_exchange& exchange) -> asio::awaitable<void> {
             http_headers headers;
--- a/tests/drivers/peer/peer_link_test.cpp
+++ b/tests/drivers/peer/peer_link_test.cpp
@@ -164,7 +164,7 @@
     EXPECT_TRUE(b_.received.empty());
 }
 
-TEST_F(peer_link_test, cut_zone_gets_nothing_until_the_switch_heals) {
+TEST_F(peer_link_test, cut_off_zone_gets_no_messages_until_the_partition_ends) {
     b_.link.faults().cut({}, {availability_zone("zone-1")});
     send(a_, b_, "lost");
     ASSERT_TRUE(run_until([&] { return b_.link.counters().cut == 1; }));
--- a/tests/drivers/store/store_test.cpp
+++ b/tests/drivers/store/store_test.cpp
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST_F(store_test, accepted_job_is_whole_in_the_store) {
+TEST_F(store_test, accepted_job_is_stored_completely) {
     EXPECT_EQ(accept(), accept_end::accepted);
     const auto values = fake.values();
     EXPECT_EQ(values.at(submission_key(job_id("j"), 0)).value, submission);
@@ -319,7 +319,7 @@
     EXPECT_EQ(relay.calls, 0);
 }
 
-TEST_F(store_test, failed_relay_tells_whether_a_write_may_take_effect) {
+TEST_F(store_test, failed_relay_reports_whether_a_write_may_take_effect) {
     struct row {
         store_fault fault;
         result_code relayed;
@@ -350,7 +350,7 @@
 
 // A write whose direct call was not answered may have taken effect, also if the
 // store refuses the relayed retry. It must not be reported as "not run".
-TEST_F(store_test, refusal_of_the_relayed_call_leaves_an_open_one_open) {
+TEST_F(store_test, refusal_of_the_relayed_call_leaves_the_outcome_unknown) {
     fake_users_store other;
     other.set_refusing(true);
     store_client peer(context, {.address = other.address()}, log);
--- a/tests/main/bad_input_test.cpp
+++ b/tests/main/bad_input_test.cpp
@@ -184,7 +184,7 @@
               {{"Idempotency-Key", "a b"}, {"Savorydock-Attempt", "1"}}),
          400, result_code::not_run_bad_request},
         // Without an attempt number, an earlier attempt with this key may have
-        // run, so the result must not say "not run".
+        // run, so the result must not be "not run".
         {"invalid idempotency key without an attempt",
          post("/v1/services/plain/write", "x", {{"Idempotency-Key", "a b"}}),
          503, result_code::unknown_earlier_sending},
--- a/tests/main/configuration_process_test.cpp
+++ b/tests/main/configuration_process_test.cpp
@@ -50,13 +50,13 @@
         return file;
     }
 
-    std::string write_service(const std::string& service, int mark) {
+    std::string write_service(const std::string& service, int queue_length) {
         return write_file(
-            service + std::to_string(mark) + ".json",
+            service + std::to_string(queue_length) + ".json",
             "{\"service\": \"" + service +
                 "\", \"kind\": \"plain\",\n\"classes\": [{\"name\": \"c\",\n"
                 "\"queue_length\": " +
-                std::to_string(mark) +
+                std::to_string(queue_length) +
                 "}],\n\"callers\": [], \"upstreams\": []}\n");
     }
 
@@ -190,15 +190,15 @@
     platform_.add_fault({.delay = 1s});
     // During the first publish, platform calls may be in flight that began
     // before the delay was added.
-    for (int mark = 1; mark <= 3; ++mark) {
-        const std::string file = write_service("depth", mark);
+    for (int queue_length = 1; queue_length <= 3; ++queue_length) {
+        const std::string file = write_service("depth", queue_length);
         const auto begun = std::chrono::steady_clock::now();
         publish("ann", file);
         const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
             std::chrono::steady_clock::now() - begun);
-        RecordProperty("publish_" + std::to_string(mark) + "_ms",
+        RecordProperty("publish_" + std::to_string(queue_length) + "_ms",
                        std::to_string(took.count()));
-        std::cout << "publish " << mark << " in force on 9 after "
+        std::cout << "publish " << queue_length << " in force on 9 after "
                   << took.count() << " ms\n";
         for (std::size_t i = 0; i < instance_count; ++i) {
             EXPECT_EQ(revision_at(i, "depth"), stored_revision("depth"));
--- a/tests/main/order_process_test.cpp
+++ b/tests/main/order_process_test.cpp
@@ -158,7 +158,7 @@
     platform_.add_fault({.operation = "lease", .refuse = true});
     // Longer than the lease, so that it expires on the platform.
     std::this_thread::sleep_for(6s);
-    // Configuration still spreads, but no instance may send orders.
+    // Configuration is still distributed, but no instance may send orders.
     publish(9);
     std::this_thread::sleep_for(4s);
     EXPECT_TRUE(holder().empty());
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_EQ(configuration->bounds.max_body_bytes, 99U);
 }
 
-TEST_F(codec_test, configuration_with_faults_is_refused_whole) {
+TEST_F(codec_test, configuration_with_faults_is_refused_entirely) {
     for (
         const char* const text :
         {"", "[]", R"({"routes":[]})", R"({"version":1})",
@@ -133,7 +133,7 @@
     }
 }
 
-TEST_F(codec_test, wanted_versions_and_retirements_are_told_apart) {
+TEST_F(codec_test, wanted_versions_and_retirements_are_distinguished) {
     const auto wanted =
         decode_wanted_version("op/version/m", R"({"model":"m","version":4})");
     ASSERT_TRUE(wanted);
@@ -273,7 +273,7 @@
     EXPECT_EQ(conflict.current[0].modified, 9U);
 }
 
-TEST_F(codec_test, order_answers_are_told_apart) {
+TEST_F(codec_test, order_answers_are_distinguished) {
     EXPECT_EQ(decode_order_answer({.status = 202}), order_answer::accepted);
     EXPECT_EQ(decode_order_answer({.status = 200}),
               order_answer::already_holds);
