--- a/drivers/caller_http/step_runner.cpp
+++ b/drivers/caller_http/step_runner.cpp
@@ -106,7 +106,7 @@
     const steady_time now = std::chrono::steady_clock::now();
     statistics_.forecast.observe(newest_version(), now);
     std::vector<slot_place> deferred;
-    while (active_runs_.size() < max_runs && session_.has_room()) {
+    while (active_runs_.size() < max_runs && session_.has_capacity()) {
         const auto start = schedule_.next(now);
         if (!start) {
             break;
--- a/drivers/entry/entry_instance.cpp
+++ b/drivers/entry/entry_instance.cpp
@@ -183,7 +183,7 @@
     operators.explain = [this](std::string subject, auto answer) {
         runtime.post([this, subject = std::move(subject),
                       answer](steady_time now, command_list& out) {
-            control.explanations().ask(
+            control.explanations().query(
                 subject,
                 [answer](const explanation& found) { answer(to_json(found)); },
                 now, out);
--- a/servers/batch/item_planner.hpp
+++ b/servers/batch/item_planner.hpp
@@ -204,7 +204,7 @@
     /// Delay before a refused commit is retried.
     std::chrono::milliseconds commit_retry_delay{220};
     /// An item moves to another engine with a free slot if its own engine is
-    /// slower by this factor. A move costs some ten milliseconds, because the
+    /// slower by this factor. A move costs about ten milliseconds, because the
     /// other engine processes prompt and text again.
     double move_ratio = 1.15;
     /// An item moves only if that saves at least this much time.
--- a/servers/control/order_tracker.cpp
+++ b/servers/control/order_tracker.cpp
@@ -151,7 +151,7 @@
     ticket_ = 0;
     due_ = not_after_ + options.longest_order;
     position_.fire("order_lost");
-    return order_result::lost;
+    return order_result::outcome_unknown;
 }
 
 } // namespace savorydock
--- a/servers/control/order_tracker.hpp
+++ b/servers/control/order_tracker.hpp
@@ -24,7 +24,7 @@
     /// No byte of the order was sent.
     unsent,
     /// The outcome is unknown; the state is read later to find out.
-    lost,
+    outcome_unknown,
     /// The upstream has seen a higher fencing number, from a newer holder.
     superseded,
 };
@@ -44,7 +44,8 @@
     /// Errors: `invalid_chart`.
     [[nodiscard]] static outcome<done> check_chart(const state_chart& chart);
 
-    /// Handles timeouts; returns `lost` if an order was not answered in time.
+    /// Handles timeouts; returns `outcome_unknown` if an order was not answered
+    /// in time.
     order_result on_tick(steady_time now, const order_options& options);
 
     [[nodiscard]] bool may_read(steady_time now) const;
--- a/servers/control/scope_controller.cpp
+++ b/servers/control/scope_controller.cpp
@@ -231,7 +231,7 @@
     case order_result::store_busy:
         planner_.swap_failed(upstream, swap_failure::store_busy, now, out);
         break;
-    case order_result::lost:
+    case order_result::outcome_unknown:
         log(log_event::order_outcome_unknown);
         break;
     case order_result::superseded:
--- a/servers/delivery/step_session.cpp
+++ b/servers/delivery/step_session.cpp
@@ -80,7 +80,7 @@
 
 std::optional<slot_run> step_session::run(const slot_id& slot) {
     const auto position = position_of(slot);
-    if (!position || !is_in(*position, "waiting") || !has_room()) {
+    if (!position || !is_in(*position, "waiting") || !has_capacity()) {
         return std::nullopt;
     }
     fire(*position, "run");
--- a/servers/delivery/step_session.hpp
+++ b/servers/delivery/step_session.hpp
@@ -135,7 +135,7 @@
     /// Whether the slot needs no further run: held, handed over or refused.
     [[nodiscard]] bool is_settled(const slot_id& slot) const;
     /// Whether new runs may start before the trainer takes a sample.
-    [[nodiscard]] bool has_room() const {
+    [[nodiscard]] bool has_capacity() const {
         return is_open() && ready_.size() < options_.max_ready;
     }
 
--- a/servers/explain/decision_log.hpp
+++ b/servers/explain/decision_log.hpp
@@ -16,7 +16,7 @@
 
 namespace savorydock {
 
-/// The kinds of events in the processing of a request, step, order or rollout.
+/// The kinds of events in the processing of a request, step, order or roll-out.
 enum class decision_kind : std::uint8_t {
     received,
     refused,
--- a/servers/explain/explain_server.cpp
+++ b/servers/explain/explain_server.cpp
@@ -8,8 +8,8 @@
     peers_ = std::move(peers);
 }
 
-void explain_server::ask(const std::string& subject, answer_handler answer,
-                         steady_time now, command_list& out) {
+void explain_server::query(const std::string& subject, answer_handler answer,
+                           steady_time now, command_list& out) {
     const std::uint64_t new_id = next_question_id_++;
     pending_question pending{
         .explanation_so_far = {.subject = subject,
--- a/servers/explain/explain_server.hpp
+++ b/servers/explain/explain_server.hpp
@@ -60,8 +60,8 @@
 
     /// Queries all peers. Calls `answer` once, when all have answered or the
     /// timeout has passed; immediately if there are no peers.
-    void ask(const std::string& subject, answer_handler answer, steady_time now,
-             command_list& out);
+    void query(const std::string& subject, answer_handler answer,
+               steady_time now, command_list& out);
 
     void on_tick(steady_time now, command_list& out) override;
     void on_peer_message(const peer_message& message, steady_time now,
--- a/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
+++ b/tests/drivers/platform_kv/etcd_gateway_client_test.cpp
@@ -126,7 +126,7 @@
     EXPECT_TRUE(call(read_range{.key = "/a"}));
 }
 
-TEST_F(etcd_gateway_client_test, watch_returns_changes_of_its_prefix_only) {
+TEST_F(etcd_gateway_client_test, watch_returns_only_changes_under_its_prefix) {
     const store_revision start = write("/a/1", "one") + 1;
     auto watch = submit(watch_prefix{.prefix = "/a/", .start = start});
     write("/b/1", "other");
--- a/tests/servers/admission/admission_queue_test.cpp
+++ b/tests/servers/admission/admission_queue_test.cpp
@@ -188,7 +188,7 @@
     EXPECT_TRUE(granted.contains(batch));
 }
 
-TEST_F(admission_queue_test, only_loaded_instance_gets_the_whole_capacity) {
+TEST_F(admission_queue_test, only_loaded_instance_gets_the_entire_capacity) {
     std::uint32_t own = 0;
     for (int report = 0; report < 8; ++report) {
         own = share_of_capacity(
--- a/tests/servers/configuration/configuration_server_test.cpp
+++ b/tests/servers/configuration/configuration_server_test.cpp
@@ -108,7 +108,7 @@
     }
 }
 
-TEST_F(configuration_server_test, watcher_that_dies_is_replaced) {
+TEST_F(configuration_server_test, watcher_that_fails_is_replaced) {
     fleet_.start_all();
     fleet_.run_for(5s);
     for (std::size_t i = 0; i < fleet_size; ++i) {
@@ -137,7 +137,8 @@
     EXPECT_TRUE(is_in_force_everywhere(again.revision));
 }
 
-TEST_F(configuration_server_test, faulty_document_leaves_the_last_good) {
+TEST_F(configuration_server_test,
+       faulty_document_keeps_the_last_valid_revision) {
     fleet_.start_all();
     const auto good = publish(1);
     ASSERT_TRUE(is_in_force_everywhere(good.revision));
--- a/tests/servers/delivery/delivery_server_test.cpp
+++ b/tests/servers/delivery/delivery_server_test.cpp
@@ -112,7 +112,7 @@
     EXPECT_TRUE(at("a").port.suspects()->empty());
 }
 
-TEST_F(delivery_server_test, suspects_run_one_at_a_time_over_all_instances) {
+TEST_F(delivery_server_test, permit_is_exclusive_across_all_instances) {
     const std::string first = permit("a", "r1", "u1");
     ASSERT_FALSE(first.empty());
     EXPECT_EQ(permit("b", "r1", "u2"), "") << "the same request";
@@ -122,7 +122,7 @@
     EXPECT_FALSE(permit("b", "r1", "u3").empty());
 }
 
-TEST_F(delivery_server_test, permit_whose_holder_dies_counts_as_a_loss) {
+TEST_F(delivery_server_test, permit_whose_holder_fails_counts_as_a_loss) {
     submit("a", lost("u1"));
     ASSERT_FALSE(permit("b", "bad", "u2").empty());
     tick(10s);
--- a/tests/servers/delivery/step_session_test.cpp
+++ b/tests/servers/delivery/step_session_test.cpp
@@ -109,7 +109,7 @@
     EXPECT_TRUE(session.next_run());
 }
 
-TEST_F(step_session_test, first_whole_answer_of_two_runs_cancels_the_other) {
+TEST_F(step_session_test, first_complete_answer_of_two_runs_cancels_the_other) {
     auto session = open({true, false});
     const auto first = session.next_run();
     const auto second = session.hedge(first->slot);
--- a/tests/servers/routing/snapshot_router_test.cpp
+++ b/tests/servers/routing/snapshot_router_test.cpp
@@ -216,7 +216,7 @@
     EXPECT_GT(pick_counts(1'000, fixture_.query())[0], 300U);
 }
 
-TEST_P(adaptive_policy_test, failures_in_a_row_eject_before_control_knows) {
+TEST_P(adaptive_policy_test, consecutive_failures_eject_before_control_knows) {
     fixture_.publish(router_);
     finish_requests(4, upstream_evidence::refused_connection, {}, 3);
     EXPECT_LT(pick_counts(1'000, fixture_.query())[4], 120U);
